--- a/src/control/commit_search.cpp
+++ b/src/control/commit_search.cpp
@@ -8,7 +8,7 @@
 namespace tamarindshift {
 
 // asks every database of the service, also those that leave, are silent or are suspected
-Task<Duties::CommitSearch> Duties::searchCommits(ServiceName name, Place needed) {
+Task<Duties::CommitSearch> Duties::searchCommits(ServiceName name, LogPosition needed) {
   std::set<DatabaseName> databases;
   for (const auto& [database, own] : state_.databases(name)) databases.insert(database);
   auto answers = co_await survey(name, databases);
@@ -16,7 +16,7 @@
   auto found = state_.services().find(name);
   if (found == state_.services().end()) co_return search;
   const auto& service = found->second;
-  if (present(name, service.servedBy)) search.mayReturn = "no database holds all that was acknowledged";
+  if (present(name, service.lastConfirmedPrimary)) search.mayReturn = "no database holds all that was acknowledged";
   for (const auto& [database, standing] : answers->standings) {
     bool leaves = service.drained.contains(database);
     if (!standing) {
@@ -40,7 +40,7 @@
   std::vector<DatabaseName> others;
   for (const auto& [database, own] : state_.databases(name)) {
     bool candidate = std::find(among.begin(), among.end(), database) != among.end();
-    if (!candidate && database != service.servedBy && database != service.primary) others.push_back(database);
+    if (!candidate && database != service.lastConfirmedPrimary && database != service.primary) others.push_back(database);
   }
   return others;
 }
--- a/src/control/control_update.hpp
+++ b/src/control/control_command.hpp
@@ -5,7 +5,7 @@
 
 namespace tamarindshift {
 
-enum class ControlMatter : std::uint8_t {
+enum class ControlCommandType : std::uint8_t {
   plan = 1,
   drainDatabase = 2,
   returnDatabase = 3,
@@ -20,29 +20,29 @@
   ration = 12,
 };
 
-struct ControlUpdate {
-  ControlMatter matter{};
+struct ControlCommand {
+  ControlCommandType type{};
   std::uint64_t dutyEpoch = 0;
   std::string body;
-  MSGPACK_DEFINE(matter, dutyEpoch, body)
+  MSGPACK_DEFINE(type, dutyEpoch, body)
 };
 
-struct PlanUpdate {
+struct PlanCommand {
   std::string text;
   MSGPACK_DEFINE(text)
 };
 
 /// A drain or removal of a database. An empty service stands for whichever service the database is enrolled with.
-struct DatabaseUpdate {
+struct DatabaseCommand {
   ServiceName service;
   DatabaseName database;
   std::uint64_t boot = 0;
   std::uint64_t number = 0;
-  bool gone = false;
-  MSGPACK_DEFINE(service, database, boot, number, gone)
+  bool detached = false;
+  MSGPACK_DEFINE(service, database, boot, number, detached)
 };
 
-struct EnrolmentUpdate {
+struct EnrolmentCommand {
   ServiceName service;
   DatabaseName database;
   Address address;
@@ -54,18 +54,18 @@
   MSGPACK_DEFINE(service, database, address, zone, capacity, boot, number, role)
 };
 
-struct RecoveryUpdate {
+struct RecoveryCommand {
   ServiceName service;
   Epoch oldEpoch;
   DatabaseName chosen;
   std::string reason;
-  bool planned = false;
+  bool plannedSwitchover = false;
   /// The newest term that the chosen database told before it was chosen.
   Epoch chosenTerm{};
-  MSGPACK_DEFINE(service, oldEpoch, chosen, reason, planned, chosenTerm)
+  MSGPACK_DEFINE(service, oldEpoch, chosen, reason, plannedSwitchover, chosenTerm)
 };
 
-struct PromotedUpdate {
+struct PromotedCommand {
   ServiceName service;
   Epoch epoch;
   /// The term in which the database leads, as it told.
@@ -75,7 +75,7 @@
 
 using Grants = std::map<Address, std::map<BranchName, std::uint32_t>>;
 
-struct SharesUpdate {
+struct SharesCommand {
   ServiceName service;
   std::uint64_t basis = 0;
   Grants grants;
@@ -84,14 +84,14 @@
 };
 
 // without a ration the database is rationed no more
-struct RationUpdate {
+struct RationCommand {
   ServiceName service;
   DatabaseName database;
   std::optional<Ration> ration;
   MSGPACK_DEFINE(service, database, ration)
 };
 
-struct NodeUpdate {
+struct NodeCommand {
   Address node;
   Zone zone;
   std::uint64_t boot = 0;
@@ -100,4 +100,4 @@
 
 }  // namespace tamarindshift
 
-MSGPACK_ADD_ENUM(tamarindshift::ControlMatter)
+MSGPACK_ADD_ENUM(tamarindshift::ControlCommandType)
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -8,129 +8,129 @@
 
 std::string ControlState::applyGreen(const Action& action, std::uint64_t position) {
   position_ = position;
-  auto update = unpacked<ControlUpdate>(action.update);
-  if (!update) return "unreadable";
-  if (update->dutyEpoch != 0) {
-    if (update->dutyEpoch < dutyEpoch_) return "lower duty epoch";
-    dutyEpoch_ = update->dutyEpoch;
+  auto command = unpacked<ControlCommand>(action.update);
+  if (!command) return "unreadable";
+  if (command->dutyEpoch != 0) {
+    if (command->dutyEpoch < dutyEpoch_) return "lower duty epoch";
+    dutyEpoch_ = command->dutyEpoch;
   }
   std::string reply = "unreadable";
   auto apply = [&]<class Body>(auto&& handler, const std::optional<Body>& body) {
     if (body) reply = handler(*body);
   };
-  switch (update->matter) {
-    case ControlMatter::plan:
+  switch (command->type) {
+    case ControlCommandType::plan:
       apply(
           [this](const auto& body) {
             return applyPlan(body);
           },
-          unpacked<PlanUpdate>(update->body));
+          unpacked<PlanCommand>(command->body));
       break;
-    case ControlMatter::drainDatabase:
+    case ControlCommandType::drainDatabase:
       apply(
           [this](const auto& body) {
-            return applyDatabase(body, true);
+            return applyDrainOrReturn(body, true);
           },
-          unpacked<DatabaseUpdate>(update->body));
+          unpacked<DatabaseCommand>(command->body));
       break;
-    case ControlMatter::returnDatabase:
+    case ControlCommandType::returnDatabase:
       apply(
           [this](const auto& body) {
-            return applyDatabase(body, false);
+            return applyDrainOrReturn(body, false);
           },
-          unpacked<DatabaseUpdate>(update->body));
+          unpacked<DatabaseCommand>(command->body));
       break;
-    case ControlMatter::enrolDatabase:
+    case ControlCommandType::enrolDatabase:
       apply(
           [this](const auto& body) {
             return applyEnrolment(body);
           },
-          unpacked<EnrolmentUpdate>(update->body));
+          unpacked<EnrolmentCommand>(command->body));
       break;
-    case ControlMatter::removeDatabase:
+    case ControlCommandType::removeDatabase:
       apply(
           [this](const auto& body) {
             return removeDatabase(body);
           },
-          unpacked<DatabaseUpdate>(update->body));
+          unpacked<DatabaseCommand>(command->body));
       break;
-    case ControlMatter::recovery:
+    case ControlCommandType::recovery:
       apply(
           [this](const auto& body) {
             return applyRecovery(body);
           },
-          unpacked<RecoveryUpdate>(update->body));
+          unpacked<RecoveryCommand>(command->body));
       break;
-    case ControlMatter::promoted:
+    case ControlCommandType::promoted:
       apply(
           [this](const auto& body) {
             return applyPromoted(body);
           },
-          unpacked<PromotedUpdate>(update->body));
+          unpacked<PromotedCommand>(command->body));
       break;
-    case ControlMatter::shares:
+    case ControlCommandType::shares:
       apply(
           [this](const auto& body) {
             return applyShares(body);
           },
-          unpacked<SharesUpdate>(update->body));
+          unpacked<SharesCommand>(command->body));
       break;
-    case ControlMatter::ration:
+    case ControlCommandType::ration:
       apply(
           [this](const auto& body) {
             return applyRation(body);
           },
-          unpacked<RationUpdate>(update->body));
+          unpacked<RationCommand>(command->body));
       break;
-    case ControlMatter::enrolNode:
+    case ControlCommandType::enrolNode:
       apply(
           [this](const auto& body) {
             return applyNode(body, false);
           },
-          unpacked<NodeUpdate>(update->body));
+          unpacked<NodeCommand>(command->body));
       break;
-    case ControlMatter::drainNode:
+    case ControlCommandType::drainNode:
       apply(
           [this](const auto& body) {
             return applyNode(body, true);
           },
-          unpacked<NodeUpdate>(update->body));
+          unpacked<NodeCommand>(command->body));
       break;
-    case ControlMatter::removeNode:
+    case ControlCommandType::removeNode:
       apply(
           [this](const auto& body) {
             return removeNode(body);
           },
-          unpacked<NodeUpdate>(update->body));
+          unpacked<NodeCommand>(command->body));
       break;
   }
   publish();
   return reply;
 }
 
-std::string ControlState::applyPlan(const PlanUpdate& update) {
-  return text(judgePlan(update));
+std::string ControlState::applyPlan(const PlanCommand& command) {
+  return text(judgePlan(command));
 }
 
-PlanVerdict ControlState::judgePlan(const PlanUpdate& update) {
-  auto digest = contentDigest(update.text);
-  if (auto known = versions_.known(digest)) return *known;
+PlanVerdict ControlState::judgePlan(const PlanCommand& command) {
+  auto digest = contentDigest(command.text);
+  if (auto known = versions_.find(digest)) return *known;
   PlanReader reader;
-  auto plan = reader.read(update.text);
+  auto plan = reader.read(command.text);
   if (!plan) return PlanVerdict::broken;
-  if (auto known = versions_.judge(plan->mark, digest)) return *known;
+  if (auto known = versions_.verdict(plan->mark, digest)) return *known;
   bool overtaken = plan_ && plan->mark <= plan_->mark;
-  versions_.note(plan->mark, std::move(digest), !overtaken);
+  versions_.record(plan->mark, std::move(digest), !overtaken);
   if (overtaken) return PlanVerdict::overtaken;
   plan_ = std::move(plan);
-  planText_ = update.text;
-  followPlan();
+  planText_ = command.text;
+  conformToPlan();
   return PlanVerdict::held;
 }
 
-void ControlState::followPlan() {
-  retire(*plan_);
-  touchAll();
+void ControlState::conformToPlan() {
+  retireServices(*plan_);
+  markAllChanged();
   for (const auto& [name, service] : plan_->services) {
     auto& state = services_[name];
     auto databases = this->databases(name);
@@ -140,7 +140,7 @@
     std::erase_if(state.rations, [&](const auto& database) {
       return !databases.contains(database.first);
     });
-    state.sharesAt = position_;
+    state.sharesPosition = position_;
     std::map<BranchName, std::uint32_t> sums;
     auto fit = [&](std::map<BranchName, std::uint32_t>& branches) {
       std::erase_if(branches, [&](const auto& branch) {
@@ -154,15 +154,15 @@
     };
     // a node that lost some of it may hold it until it follows, or until its time is over from now on
     for (auto& [node, share] : state.reserved) {
-      auto before = share.most;
-      fit(share.most);
-      if (share.most != before) share.at = share.basis = position_;
+      auto before = share.connections;
+      fit(share.connections);
+      if (share.connections != before) share.reservedAt = share.basis = position_;
     }
     for (auto& [node, branches] : state.grants) fit(branches);
   }
 }
 
-void ControlState::retire(const Plan& plan) {
+void ControlState::retireServices(const Plan& plan) {
   std::erase_if(services_, [&](const auto& each) {
     const auto& [name, state] = each;
     if (plan.services.contains(name)) return false;
@@ -170,14 +170,14 @@
     kept.epoch = state.epoch;
     kept.primary = state.primary;
     kept.promoted = state.promoted;
-    kept.servedBy = state.servedBy;
+    kept.lastConfirmedPrimary = state.lastConfirmedPrimary;
     kept.reserved = state.reserved;
-    kept.planned = state.planned;
+    kept.plannedSwitchover = state.plannedSwitchover;
     kept.chosenTerm = state.chosenTerm;
-    kept.ledTerm = state.ledTerm;
+    kept.confirmedTerm = state.confirmedTerm;
     kept.awaitedSuccessors = state.awaitedSuccessors;
     if (enrolled_.contains(name)) kept.drained = state.drained;
-    for (const auto& [node, most] : state.grants) kept.reserved[node] = ReservedShare{position_, state.sharesAt, most};
+    for (const auto& [node, connections] : state.grants) kept.reserved[node] = ReservedShare{position_, state.sharesPosition, connections};
     return true;
   });
   for (const auto& [name, service] : plan.services)
@@ -190,31 +190,31 @@
   return std::nullopt;
 }
 
-std::string ControlState::applyDatabase(const DatabaseUpdate& update, bool drained) {
-  bool leavesForGood = drained && update.gone && !listed(update.service);
-  if (leavesForGood) departed_.note(update.database, position_);
-  auto service = update.service.get().empty() ? serviceOf(update.database).value_or(update.service) : update.service;
-  if (!databases(service).contains(update.database)) return leavesForGood ? "held" : "no such database";
+std::string ControlState::applyDrainOrReturn(const DatabaseCommand& command, bool drain) {
+  bool leavesForGood = drain && command.detached && !hasListedDatabases(command.service);
+  if (leavesForGood) departed_.note(command.database, position_);
+  auto service = command.service.get().empty() ? serviceOf(command.database).value_or(command.service) : command.service;
+  if (!databases(service).contains(command.database)) return leavesForGood ? "held" : "no such database";
   auto& state = services_.contains(service) ? services_.at(service) : retired_[service];
-  touch(service);
-  if (!drained) {
-    state.drained.erase(update.database);
+  markChanged(service);
+  if (!drain) {
+    state.drained.erase(command.database);
     return "held";
   }
-  auto before = state.drained.find(update.database);
-  bool gone = update.gone || (before != state.drained.end() && before->second.gone);
-  state.drained[update.database] = DrainMark{update.boot, update.number, gone};
+  auto before = state.drained.find(command.database);
+  bool detached = command.detached || (before != state.drained.end() && before->second.detached);
+  state.drained[command.database] = DrainMark{command.boot, command.number, detached};
   return "held";
 }
 
-const PlanService* ControlState::planned(const ServiceName& service) const {
+const PlanService* ControlState::plannedService(const ServiceName& service) const {
   if (!plan_) return nullptr;
   auto found = plan_->services.find(service);
   return found == plan_->services.end() ? nullptr : &found->second;
 }
 
-bool ControlState::listed(const ServiceName& service) const {
-  const auto* found = planned(service);
+bool ControlState::hasListedDatabases(const ServiceName& service) const {
+  const auto* found = plannedService(service);
   return found && !found->discovered;
 }
 
@@ -227,26 +227,27 @@
 
 EnrolledDatabases ControlState::databases(const ServiceName& service) const {
   EnrolledDatabases databases;
-  if (listed(service)) {
-    for (const auto& [name, database] : planned(service)->databases) databases[name] = EnrolledDatabase{database.address, {}, database.cap};
+  if (hasListedDatabases(service)) {
+    for (const auto& [name, database] : plannedService(service)->databases)
+      databases[name] = EnrolledDatabase{database.address, {}, database.cap};
   } else if (auto own = enrolled_.find(service); own != enrolled_.end()) {
     databases = own->second;
   }
   return databases;
 }
 
-const ServiceState* ControlState::known(const ServiceName& service) const {
+const ServiceState* ControlState::findState(const ServiceName& service) const {
   if (auto found = services_.find(service); found != services_.end()) return &found->second;
   auto found = retired_.find(service);
   return found == retired_.end() ? nullptr : &found->second;
 }
 
-ServiceState* ControlState::known(const ServiceName& service) {
-  return const_cast<ServiceState*>(std::as_const(*this).known(service));
+ServiceState* ControlState::findState(const ServiceName& service) {
+  return const_cast<ServiceState*>(std::as_const(*this).findState(service));
 }
 
-const DrainMark* ControlState::drained(const ServiceName& service, const DatabaseName& database) const {
-  const auto* state = known(service);
+const DrainMark* ControlState::drainMark(const ServiceName& service, const DatabaseName& database) const {
+  const auto* state = findState(service);
   if (!state) return nullptr;
   auto found = state->drained.find(database);
   return found == state->drained.end() ? nullptr : &found->second;
@@ -258,10 +259,10 @@
   if (!own || !state.drained.contains(database)) return;
   auto& awaited = state.awaitedSuccessors;
   awaited.push_back(AwaitedSuccessor{own->address, database});
-  if (awaited.size() > mostAwaitedSuccessors) awaited.erase(awaited.begin());
+  if (awaited.size() > maxAwaitedSuccessors) awaited.erase(awaited.begin());
 }
 
-void ControlState::endAwaiting(const Address& address) {
+void ControlState::stopAwaitingSuccessor(const Address& address) {
   for (auto* states : {&services_, &retired_})
     for (auto& [name, state] : *states)
       std::erase_if(state.awaitedSuccessors, [&](const auto& each) {
@@ -269,8 +270,8 @@
       });
 }
 
-void ControlState::leave(const ServiceName& service, const DatabaseName& database) {
-  touch(service);
+void ControlState::forgetDatabase(const ServiceName& service, const DatabaseName& database) {
+  markChanged(service);
   auto own = enrolled_.find(service);
   own->second.erase(database);
   if (own->second.empty()) enrolled_.erase(own);
@@ -279,60 +280,61 @@
       state->second.drained.erase(database), state->second.rations.erase(database);
 }
 
-std::string ControlState::applyEnrolment(const EnrolmentUpdate& update) {
-  if (listed(update.service)) return "the service's databases are listed";
-  if (departed_.contains(update.database)) return "it left for good";
+std::string ControlState::applyEnrolment(const EnrolmentCommand& command) {
+  if (hasListedDatabases(command.service)) return "the service's databases are listed";
+  if (departed_.contains(command.database)) return "it left for good";
   std::vector<std::pair<ServiceName, DatabaseName>> former;
   for (const auto& [service, databases] : enrolled_)
     for (const auto& [name, database] : databases)
-      if (database.address == update.address && (service != update.service || name != update.database)) former.emplace_back(service, name);
-  for (const auto& [service, name] : former) leave(service, name);
-  endAwaiting(update.address);
-  touch(update.service);
-  enrolled_[update.service][update.database] = EnrolledDatabase{update.address, update.zone, update.capacity};
+      if (database.address == command.address && (service != command.service || name != command.database))
+        former.emplace_back(service, name);
+  for (const auto& [service, name] : former) forgetDatabase(service, name);
+  stopAwaitingSuccessor(command.address);
+  markChanged(command.service);
+  enrolled_[command.service][command.database] = EnrolledDatabase{command.address, command.zone, command.capacity};
   return "held";
 }
 
-std::string ControlState::removeDatabase(const DatabaseUpdate& update) {
-  if (!enrolled(update.service, update.database)) return "no such database";
-  auto* served = known(update.service);
-  if (served && services_.contains(update.service) && served->primary == update.database) return "it is the primary";
-  if (served) awaitSuccessor(*served, update.service, update.database);
-  leave(update.service, update.database);
+std::string ControlState::removeDatabase(const DatabaseCommand& command) {
+  if (!enrolled(command.service, command.database)) return "no such database";
+  auto* served = findState(command.service);
+  if (served && services_.contains(command.service) && served->primary == command.database) return "it is the primary";
+  if (served) awaitSuccessor(*served, command.service, command.database);
+  forgetDatabase(command.service, command.database);
   return "held";
 }
 
-std::string ControlState::applyRecovery(const RecoveryUpdate& update) {
-  auto service = services_.find(update.service);
-  if (service == services_.end() || service->second.epoch != update.oldEpoch) return "other epoch";
-  if (!databases(update.service).contains(update.chosen)) return "no such database";
-  touch(update.service);
+std::string ControlState::applyRecovery(const RecoveryCommand& command) {
+  auto service = services_.find(command.service);
+  if (service == services_.end() || service->second.epoch != command.oldEpoch) return "other epoch";
+  if (!databases(command.service).contains(command.chosen)) return "no such database";
+  markChanged(command.service);
   auto& state = service->second;
   state.epoch = Epoch{state.epoch.get() + 1};
-  state.primary = update.chosen;
+  state.primary = command.chosen;
   state.promoted = false;
-  state.planned = update.planned;
-  state.chosenTerm = update.chosenTerm;
+  state.plannedSwitchover = command.plannedSwitchover;
+  state.chosenTerm = command.chosenTerm;
   return "held";
 }
 
-std::string ControlState::applyPromoted(const PromotedUpdate& update) {
-  auto service = services_.find(update.service);
-  if (service == services_.end() || service->second.epoch != update.epoch) return "other epoch";
-  touch(update.service);
+std::string ControlState::applyPromoted(const PromotedCommand& command) {
+  auto service = services_.find(command.service);
+  if (service == services_.end() || service->second.epoch != command.epoch) return "other epoch";
+  markChanged(command.service);
   service->second.promoted = true;
-  service->second.servedBy = service->second.primary;
-  service->second.ledTerm = std::max(service->second.ledTerm, update.term);
+  service->second.lastConfirmedPrimary = service->second.primary;
+  service->second.confirmedTerm = std::max(service->second.confirmedTerm, command.term);
   service->second.awaitedSuccessors.clear();
   return "held";
 }
 
-std::string ControlState::applyShares(const SharesUpdate& update) {
-  auto service = services_.find(update.service);
-  if (service == services_.end() || service->second.sharesAt != update.basis) return "other basis";
-  const auto& branches = plan_->services.at(update.service).branches;
+std::string ControlState::applyShares(const SharesCommand& command) {
+  auto service = services_.find(command.service);
+  if (service == services_.end() || service->second.sharesPosition != command.basis) return "other basis";
+  const auto& branches = plan_->services.at(command.service).branches;
   std::map<BranchName, std::uint64_t> sums;
-  for (const auto& shares : {update.grants, update.reserved})
+  for (const auto& shares : {command.grants, command.reserved})
     for (const auto& [node, grants] : shares)
       for (const auto& [branch, amount] : grants) {
         if (!branches.contains(branch)) return "no such branch";
@@ -340,48 +342,49 @@
       }
   auto& reserved = service->second.reserved;
   std::erase_if(reserved, [&](const auto& each) {
-    return !update.reserved.contains(each.first);
+    return !command.reserved.contains(each.first);
   });
-  for (const auto& [node, most] : update.reserved)
-    if (auto [held, fresh] = reserved.try_emplace(node, ReservedShare{position_, update.basis, most}); !fresh) held->second.most = most;
-  if (service->second.grants == update.grants) return "held";
-  touch(update.service);
-  service->second.grants = update.grants;
-  service->second.sharesAt = position_;
+  for (const auto& [node, connections] : command.reserved)
+    if (auto [held, fresh] = reserved.try_emplace(node, ReservedShare{position_, command.basis, connections}); !fresh)
+      held->second.connections = connections;
+  if (service->second.grants == command.grants) return "held";
+  markChanged(command.service);
+  service->second.grants = command.grants;
+  service->second.sharesPosition = position_;
   return "held";
 }
 
-std::string ControlState::applyRation(const RationUpdate& update) {
-  auto service = services_.find(update.service);
-  if (service == services_.end() || !databases(update.service).contains(update.database)) return "no such database";
-  touch(update.service);
-  if (update.ration)
-    service->second.rations[update.database] = *update.ration;
+std::string ControlState::applyRation(const RationCommand& command) {
+  auto service = services_.find(command.service);
+  if (service == services_.end() || !databases(command.service).contains(command.database)) return "no such database";
+  markChanged(command.service);
+  if (command.ration)
+    service->second.rations[command.database] = *command.ration;
   else
-    service->second.rations.erase(update.database);
+    service->second.rations.erase(command.database);
   return "held";
 }
 
-std::string ControlState::applyNode(const NodeUpdate& update, bool draining) {
+std::string ControlState::applyNode(const NodeCommand& command, bool draining) {
   if (draining) {
-    auto found = nodes_.find(update.node);
-    if (found == nodes_.end() || found->second.boot != update.boot) return "other boot";
+    auto found = nodes_.find(command.node);
+    if (found == nodes_.end() || found->second.boot != command.boot) return "other boot";
     found->second.draining = true;
-    touchedNodes_.insert(update.node);
+    changedNodes_.insert(command.node);
     return "held";
   }
-  touchedNodes_.insert(update.node);
-  nodes_[update.node] = NodeState{update.zone, update.boot, false, position_};
+  changedNodes_.insert(command.node);
+  nodes_[command.node] = NodeState{command.zone, command.boot, false, position_};
   return "held";
 }
 
-std::string ControlState::removeNode(const NodeUpdate& update) {
-  auto found = nodes_.find(update.node);
-  if (found == nodes_.end() || found->second.boot != update.boot) return "other boot";
+std::string ControlState::removeNode(const NodeCommand& command) {
+  auto found = nodes_.find(command.node);
+  if (found == nodes_.end() || found->second.boot != command.boot) return "other boot";
   for (const auto& [name, service] : services_)
-    if (service.holds(update.node)) return "holds shares";
+    if (service.hasShares(command.node)) return "holds shares";
   nodes_.erase(found);
-  touchedNodes_.insert(update.node);
+  changedNodes_.insert(command.node);
   return "held";
 }
 
@@ -395,7 +398,7 @@
   std::map<ServiceName, EnrolledDatabases> enrolled;
   // where in the green order each topic changed last; the same at all replicas
   std::map<Topic, std::uint64_t> marks;
-  VersionLedger versions;
+  PlanVersionHistory versions;
   DepartedDatabases departed;
   MSGPACK_DEFINE(planText, services, nodes, dutyEpoch, position, retired, enrolled, marks, versions, departed)
 };
@@ -425,18 +428,18 @@
   versions_ = restored->versions;
   departed_ = restored->departed;
   // a snapshot of an earlier program has no ledger; the configuration in force is known at least
-  if (plan_ && versions_.size() == 0) versions_.note(plan_->mark, contentDigest(planText_), true);
+  if (plan_ && versions_.size() == 0) versions_.record(plan_->mark, contentDigest(planText_), true);
   dutyEpoch_ = restored->dutyEpoch;
   position_ = restored->position;
   if (restored->marks.empty() && !plan_ && nodes_.empty()) return true;
-  touchAll();
-  for (const auto& [topic, mark] : restored->marks) touched_.insert(topic);
-  for (const auto& topic : touched_) {
+  markAllChanged();
+  for (const auto& [topic, mark] : restored->marks) changedTopics_.insert(topic);
+  for (const auto& topic : changedTopics_) {
     auto mark = restored->marks.find(topic);
-    board_.restore(topic, mark == restored->marks.end() ? position_ : mark->second, news(topic));
+    board_.restore(topic, mark == restored->marks.end() ? position_ : mark->second, topicTable(topic));
   }
-  touched_.clear();
-  touchedNodes_.clear();
+  changedTopics_.clear();
+  changedNodes_.clear();
   return true;
 }
 
--- a/src/control/control_state.hpp
+++ b/src/control/control_state.hpp
@@ -3,10 +3,10 @@
 #include <optional>
 
 #include "base/journal.hpp"
-#include "control/control_update.hpp"
+#include "control/control_command.hpp"
 #include "control/departed_databases.hpp"
 #include "control/enrolled_database.hpp"
-#include "control/version_ledger.hpp"
+#include "control/plan_version_history.hpp"
 #include "engine/application.hpp"
 #include "news/news_board.hpp"
 
@@ -15,8 +15,8 @@
 struct DrainMark {
   std::uint64_t boot = 0;
   std::uint64_t number = 0;
-  bool gone = false;
-  MSGPACK_DEFINE(boot, number, gone)
+  bool detached = false;
+  MSGPACK_DEFINE(boot, number, detached)
 };
 
 /// A database that left and whose log passes to the next database at its address.
@@ -27,32 +27,32 @@
 };
 
 struct ReservedShare {
-  std::uint64_t at = 0;
+  std::uint64_t reservedAt = 0;
   std::uint64_t basis = 0;
-  std::map<BranchName, std::uint32_t> most;
-  MSGPACK_DEFINE(at, basis, most)
+  std::map<BranchName, std::uint32_t> connections;
+  MSGPACK_DEFINE(reservedAt, basis, connections)
 };
 
 struct ServiceState {
   Epoch epoch;
   DatabaseName primary;
   bool promoted = false;
-  DatabaseName servedBy;
+  DatabaseName lastConfirmedPrimary;
   std::map<DatabaseName, DrainMark> drained;
   Grants grants;
-  std::uint64_t sharesAt = 0;
+  std::uint64_t sharesPosition = 0;
   std::map<Address, ReservedShare> reserved;
-  bool planned = false;
+  bool plannedSwitchover = false;
   std::map<DatabaseName, Ration> rations;
   /// The newest term that the chosen database told before it was chosen.
   Epoch chosenTerm{};
   /// The term of the last promotion that was seen to have taken effect.
-  Epoch ledTerm;
+  Epoch confirmedTerm;
   /// Databases that left since the last promotion and have no successor yet; they may have held the newest commits.
   std::vector<AwaitedSuccessor> awaitedSuccessors;
-  bool holds(const Address& node) const { return grants.contains(node) || reserved.contains(node); }
-  MSGPACK_DEFINE(epoch, primary, promoted, servedBy, drained, grants, sharesAt, reserved, planned, rations, chosenTerm, ledTerm,
-                 awaitedSuccessors)
+  bool hasShares(const Address& node) const { return grants.contains(node) || reserved.contains(node); }
+  MSGPACK_DEFINE(epoch, primary, promoted, lastConfirmedPrimary, drained, grants, sharesPosition, reserved, plannedSwitchover, rations,
+                 chosenTerm, confirmedTerm, awaitedSuccessors)
 };
 
 struct NodeState {
@@ -80,43 +80,43 @@
   EnrolledDatabases databases(const ServiceName& service) const;
   /// The service that a database found by its heartbeats belongs to.
   std::optional<ServiceName> serviceOf(const DatabaseName& database) const;
-  const PlanService* planned(const ServiceName& service) const;
-  bool listed(const ServiceName& service) const;
-  const DrainMark* drained(const ServiceName& service, const DatabaseName& database) const;
+  const PlanService* plannedService(const ServiceName& service) const;
+  bool hasListedDatabases(const ServiceName& service) const;
+  const DrainMark* drainMark(const ServiceName& service, const DatabaseName& database) const;
   std::uint64_t position() const { return position_; }
   /// Whether a database with this id said Detach; it is never enrolled again.
   bool departed(const DatabaseName& database) const { return departed_.contains(database); }
-  const VersionLedger& versions() const { return versions_; }
+  const PlanVersionHistory& versions() const { return versions_; }
 
  private:
-  std::string applyPlan(const PlanUpdate& update);
-  PlanVerdict judgePlan(const PlanUpdate& update);
-  void followPlan();
-  std::string applyDatabase(const DatabaseUpdate& update, bool drained);
-  std::string applyEnrolment(const EnrolmentUpdate& update);
-  std::string removeDatabase(const DatabaseUpdate& update);
-  std::string applyRecovery(const RecoveryUpdate& update);
-  std::string applyPromoted(const PromotedUpdate& update);
-  std::string applyShares(const SharesUpdate& update);
-  std::string applyRation(const RationUpdate& update);
-  std::string applyNode(const NodeUpdate& update, bool draining);
-  std::string removeNode(const NodeUpdate& update);
-  void retire(const Plan& plan);
+  std::string applyPlan(const PlanCommand& command);
+  PlanVerdict judgePlan(const PlanCommand& command);
+  void conformToPlan();
+  std::string applyDrainOrReturn(const DatabaseCommand& command, bool drain);
+  std::string applyEnrolment(const EnrolmentCommand& command);
+  std::string removeDatabase(const DatabaseCommand& command);
+  std::string applyRecovery(const RecoveryCommand& command);
+  std::string applyPromoted(const PromotedCommand& command);
+  std::string applyShares(const SharesCommand& command);
+  std::string applyRation(const RationCommand& command);
+  std::string applyNode(const NodeCommand& command, bool draining);
+  std::string removeNode(const NodeCommand& command);
+  void retireServices(const Plan& plan);
   void awaitSuccessor(ServiceState& state, const ServiceName& service, const DatabaseName& database);
-  void endAwaiting(const Address& address);
-  void leave(const ServiceName& service, const DatabaseName& database);
-  const ServiceState* known(const ServiceName& service) const;
-  ServiceState* known(const ServiceName& service);
-  void touch(const ServiceName& service) { touched_.insert(service.get()); }
-  void touchAll();
-  NewsTable fleetNews() const;
-  std::string nodeNews(const Address& address, const NodeState& node) const;
-  void publishNodes();
-  NewsTable news(const Topic& topic) const;
-  NewsTable serviceNews(const ServiceName& name, const PlanService& service) const;
+  void stopAwaitingSuccessor(const Address& address);
+  void forgetDatabase(const ServiceName& service, const DatabaseName& database);
+  const ServiceState* findState(const ServiceName& service) const;
+  ServiceState* findState(const ServiceName& service);
+  void markChanged(const ServiceName& service) { changedTopics_.insert(service.get()); }
+  void markAllChanged();
+  NewsTable fleetTable() const;
+  std::string publishedNode(const Address& address, const NodeState& node) const;
+  void publishNodeChanges();
+  NewsTable topicTable(const Topic& topic) const;
+  NewsTable serviceTable(const ServiceName& name, const PlanService& service) const;
   void publish();
 
-  static constexpr std::size_t mostAwaitedSuccessors = 64;
+  static constexpr std::size_t maxAwaitedSuccessors = 64;
 
   NewsBoard& board_;
   std::optional<Plan> plan_;
@@ -125,13 +125,13 @@
   std::map<ServiceName, ServiceState> retired_;
   std::map<ServiceName, EnrolledDatabases> enrolled_;
   std::map<Address, NodeState> nodes_;
-  VersionLedger versions_;
+  PlanVersionHistory versions_;
   DepartedDatabases departed_;
   std::uint64_t dutyEpoch_ = 0;
   std::uint64_t position_ = 0;
   // topics whose tables an action may have changed
-  std::set<Topic> touched_{fleetTopic};
-  std::set<Address> touchedNodes_;
+  std::set<Topic> changedTopics_{fleetTopic};
+  std::set<Address> changedNodes_;
 };
 
 }  // namespace tamarindshift
--- a/src/control/database_control.hpp
+++ b/src/control/database_control.hpp
@@ -14,12 +14,12 @@
   Address address;
 };
 
-// led: the database is primary now; accepted: it will be, and says so itself; refused: it cannot become primary
-enum class PromotionOutcome { led, accepted, refused, unanswered };
+// promoted: the database is primary now; accepted: it will be, and says so itself; refused: it cannot become primary
+enum class PromotionOutcome { promoted, accepted, refused, unanswered };
 
 struct DutyHolder {
   Address node;
-  std::uint64_t fence = 0;
+  std::uint64_t fencingToken = 0;
   /// Asked right before the call goes out; false where another node may hold the duties by now.
   std::function<bool()> mayAct = [] {
     return true;
--- a/src/control/duties.cpp
+++ b/src/control/duties.cpp
@@ -5,7 +5,7 @@
 namespace tamarindshift {
 
 Duties::Duties(Clock& clock, Journal& journal, const Timings& timings, ReplicationEngine& engine, const ControlState& state,
-               AccessTables& access, DatabaseControl& databases, ServerId own, std::size_t losses, bool rationing)
+               ReportTables& access, DatabaseControl& databases, ServerId own, std::size_t losses, bool rationing)
     : clock_(clock),
       journal_(journal),
       timings_(timings),
@@ -65,11 +65,11 @@
 }
 
 void Duties::checkConfiguration() {
-  planSame_ = planVersions_.note(state_.plan() ? state_.plan()->mark : PlanMark{});
+  planSame_ = planVersions_.note(state_.plan() ? state_.plan()->mark : PlanVersion{});
 }
 
 void Duties::pass() {
-  access_.forgetNodesBefore(clock_.now() - 10 * timings_.nodeSilence);
+  access_.removeNodesSilentSince(clock_.now() - 10 * timings_.nodeSilence);
   members_.review();
   if (!nodesBusy_) scope_.spawn(nodes());
   if (!enrolmentsBusy_) scope_.spawn(enrolments());
@@ -84,7 +84,7 @@
     const auto& service = state_.services().at(name);
     auto& duty = duties_[name];
     auto now = clock_.now();
-    if (std::exchange(duty.sharesSeen, service.sharesAt) != service.sharesAt) {
+    if (std::exchange(duty.sharesSeen, service.sharesPosition) != service.sharesPosition) {
       duty.sharesSeenAt = now;
       checkShares(name, service);
     }
@@ -112,7 +112,7 @@
   duties_[name].busy = false;
 }
 
-const AccessTables::Node* Duties::heard(const Address& node) const {
+const ReportTables::Node* Duties::heard(const Address& node) const {
   auto found = access_.nodes().find(node);
   return found == access_.nodes().end() ? nullptr : &found->second;
 }
@@ -129,7 +129,7 @@
   while (*left > 0) co_await ordered_.wait(clock_);
 }
 
-Task<void> Duties::orderOne(ControlMatter matter, std::string body, std::shared_ptr<std::size_t> left) {
+Task<void> Duties::orderOne(ControlCommandType matter, std::string body, std::shared_ptr<std::size_t> left) {
   co_await order(matter, std::move(body));
   --*left;
   ordered_.open();
--- a/src/control/duties.hpp
+++ b/src/control/duties.hpp
@@ -2,7 +2,6 @@
 
 #include "base/task_scope.hpp"
 #include "base/timings.hpp"
-#include "control/access_tables.hpp"
 #include "control/control_state.hpp"
 #include "control/database_control.hpp"
 #include "control/duty_epoch_check.hpp"
@@ -10,13 +9,14 @@
 #include "control/plan_version_check.hpp"
 #include "control/promotion_proof.hpp"
 #include "control/ration_cut.hpp"
+#include "control/report_tables.hpp"
 #include "engine/replication_engine.hpp"
 
 namespace tamarindshift {
 
 class Duties {
  public:
-  Duties(Clock& clock, Journal& journal, const Timings& timings, ReplicationEngine& engine, const ControlState& state, AccessTables& access,
+  Duties(Clock& clock, Journal& journal, const Timings& timings, ReplicationEngine& engine, const ControlState& state, ReportTables& access,
          DatabaseControl& databases, ServerId own, std::size_t losses, bool rationing);
 
   bool onDuty() const;
@@ -38,7 +38,7 @@
     std::uint64_t told = 0;
     std::uint64_t living = 0;
     std::uint64_t sharesAt = 0;
-    PlanMark mark;
+    PlanVersion mark;
     bool operator==(const SharesInputs&) const = default;
   };
   struct ServiceDuty {
@@ -46,7 +46,7 @@
     Instant seenAt{};
     Instant takenAt{};
     std::optional<Instant> demotedAt;
-    Place finalPlace;
+    LogPosition finalPlace;
     Instant demoteAskedAt{};
     Instant sharesMovedAt{};
     Instant sharesAfter{};
@@ -111,14 +111,14 @@
   Task<bool> holdsNeeded(ServiceName name, ServiceState service);
   std::optional<std::string> mayLackReports(const ServiceName& name, const ServiceState& service) const;
   Task<void> chooseBetter(ServiceName name);
-  Task<bool> givesUp(ServiceName name, ServiceState service, Place needed);
+  Task<bool> givesUp(ServiceName name, ServiceState service, LogPosition needed);
   bool mayHaveBeenCalled(const ServiceName& name) const;
   Task<std::optional<Epoch>> leadsAlready(ServiceName name, ServiceState service);
   PromotionProof promotionProof(const ServiceName& name, const ServiceState& service) const;
   Task<void> confirm(ServiceName name, ServiceState service, Epoch term);
   Task<void> callPromotion(ServiceName name, ServiceState service);
   Task<std::optional<Epoch>> leads(ServiceName name, ServiceState service, Instant calledAt);
-  Task<std::optional<DatabaseStanding>> reached(ServiceName name, ServiceState service, Place needed,
+  Task<std::optional<DatabaseStanding>> reached(ServiceName name, ServiceState service, LogPosition needed,
                                                 std::optional<DatabaseStanding> standing);
   Task<void> demote(ServiceName name, DatabaseName former);
   Task<void> demoteStray(ServiceName name);
@@ -127,16 +127,16 @@
   std::vector<DatabaseName> candidates(const ServiceName& name, const std::optional<DatabaseName>& besides) const;
   Task<std::shared_ptr<Survey>> survey(ServiceName name, std::set<DatabaseName> databases);
   std::optional<Candidate> best(const ServiceName& name, const std::vector<DatabaseName>& among, const Survey& survey);
-  Task<CommitSearch> searchCommits(ServiceName name, Place needed);
+  Task<CommitSearch> searchCommits(ServiceName name, LogPosition needed);
   std::vector<DatabaseName> otherReplicas(const ServiceName& name, const std::vector<DatabaseName>& among) const;
   std::optional<DatabaseName> mayHoldMoreThan(const ServiceName& name, const std::vector<DatabaseName>& among, const Survey& survey,
                                               const DatabaseStanding& chosen);
   std::optional<DatabaseName> awaitedPredecessor(const ServiceName& name);
   Task<std::optional<Candidate>> candidate(ServiceName name, std::optional<DatabaseName> besides);
-  using Orders = std::vector<std::pair<ControlMatter, std::string>>;
-  Task<bool> order(ControlMatter matter, std::string body);
+  using Orders = std::vector<std::pair<ControlCommandType, std::string>>;
+  Task<bool> order(ControlCommandType matter, std::string body);
   Task<void> orderAll(Orders orders);
-  Task<void> orderOne(ControlMatter matter, std::string body, std::shared_ptr<std::size_t> left);
+  Task<void> orderOne(ControlCommandType matter, std::string body, std::shared_ptr<std::size_t> left);
   Task<void> shares(ServiceName name);
   Task<void> rations(ServiceName name);
   std::map<DatabaseName, NodeDemands> demands(const ServiceName& name) const;
@@ -149,8 +149,8 @@
   Task<void> returns(ServiceName name);
   std::optional<std::string> unproved(const ServiceName& name) const;
   bool diedWithPrimary(const ServiceName& name, const DatabaseName& database) const;
-  const AccessTables::Node* heard(const Address& node) const;
-  bool reporting(const AccessTables::Node& node) const { return clock_.now() - node.heardAt <= timings_.nodeSilence; }
+  const ReportTables::Node* heard(const Address& node) const;
+  bool reporting(const ReportTables::Node& node) const { return clock_.now() - node.lastContact <= timings_.nodeSilence; }
   bool silent(const Address& node) const;
   std::uint64_t followed(const ServiceName& name, const Address& node) const;
   bool newcomersWaitedFor(const ServiceName& name) const;
@@ -167,13 +167,13 @@
   bool mostSay(const ServiceName& name, const DatabaseName& database, std::set<DatabaseName> ServiceReport::*told) const;
   bool hasBetter(const ServiceName& name) const;
   Task<void> relieve(ServiceName name);
-  bool fresh(const AccessTables::Database& sign) const { return clock_.now() - sign.heardAt <= timings_.silence(); }
+  bool fresh(const ReportTables::Database& sign) const { return clock_.now() - sign.lastContact <= timings_.silence(); }
   bool saysPrimary(const ServiceName& name, const DatabaseName& database) const;
   bool discovered(const ServiceName& name) const;
   bool keepsAcknowledged(const ServiceName& name) const;
   bool pending(const ServiceName& name, Epoch epoch) const;
   void noteTerm(const ServiceName& name, Epoch term);
-  Place needed(const ServiceName& name, const ServiceState& service) const;
+  LogPosition needed(const ServiceName& name, const ServiceState& service) const;
   bool overdue(const ServiceName& name, const Address& node) const;
   Grants reserve(const ServiceName& name, const ServiceState& service);
   void wait(const ServiceName& name, const std::string& reason);
@@ -185,7 +185,7 @@
   const Timings& timings_;
   ReplicationEngine& engine_;
   const ControlState& state_;
-  AccessTables& access_;
+  ReportTables& access_;
   DatabaseControl& databases_;
   ServerId own_;
   MemberReplacement members_;
--- a/src/control/heartbeat_json.hpp
+++ b/src/control/heartbeat_json.hpp
@@ -3,7 +3,7 @@
 #include <optional>
 #include <string>
 
-#include "control/access_messages.hpp"
+#include "control/report_messages.hpp"
 
 namespace tamarindshift {
 
--- a/src/control/membership_duties.cpp
+++ b/src/control/membership_duties.cpp
@@ -14,51 +14,51 @@
     if (reporting(node)) reports.push_back(node.report);
   for (const auto& report : reports) {
     auto known = state_.nodes().find(report.node);
-    NodeUpdate update{report.node, report.zone, report.boot};
+    NodeCommand update{report.node, report.zone, report.boot};
     bool same = known != state_.nodes().end() && known->second.boot == report.boot && known->second.zone == report.zone;
     if (!same && !report.draining)
-      orders.emplace_back(ControlMatter::enrolNode, packed(update));
+      orders.emplace_back(ControlCommandType::enrolNode, packed(update));
     else if (same && report.draining && !known->second.draining)
-      orders.emplace_back(ControlMatter::drainNode, packed(update));
+      orders.emplace_back(ControlCommandType::drainNode, packed(update));
   }
   co_await orderAll(std::move(orders));
-  std::vector<NodeUpdate> gone;
+  std::vector<NodeCommand> gone;
   for (const auto& [address, node] : state_.nodes()) {
     bool holds = std::any_of(state_.services().begin(), state_.services().end(), [&](const auto& each) {
-      return each.second.holds(address);
+      return each.second.hasShares(address);
     });
-    if (!holds && silent(address)) gone.push_back(NodeUpdate{address, node.zone, node.boot});
+    if (!holds && silent(address)) gone.push_back(NodeCommand{address, node.zone, node.boot});
   }
   for (const auto& update : gone) {
     journal_.line("node " + update.node.get() + " is let go");
-    co_await order(ControlMatter::removeNode, packed(update));
+    co_await order(ControlCommandType::removeNode, packed(update));
   }
   nodesBusy_ = false;
 }
 
 Task<void> Duties::enrolments() {
   enrolmentsBusy_ = true;
-  std::vector<DatabaseUpdate> gone;
+  std::vector<DatabaseCommand> gone;
   for (const auto& [service, databases] : state_.enrolled())
     for (const auto& [database, own] : databases) {
       auto served = state_.services().find(service);
       if (served != state_.services().end() &&
-          (served->second.primary == database || (!served->second.promoted && served->second.servedBy == database)))
+          (served->second.primary == database || (!served->second.promoted && served->second.lastConfirmedPrimary == database)))
         continue;
       const auto* sign = access_.database(service, database);
-      const auto* drained = state_.drained(service, database);
-      bool silent = clock_.now() - std::max(sign ? sign->heardAt : Instant{}, takenAt_) > timings_.databaseGone;
-      if (silent || (drained && drained->gone)) gone.push_back(DatabaseUpdate{service, database, 0, 0, true});
+      const auto* drained = state_.drainMark(service, database);
+      bool silent = clock_.now() - std::max(sign ? sign->lastContact : Instant{}, takenAt_) > timings_.databaseGone;
+      if (silent || (drained && drained->detached)) gone.push_back(DatabaseCommand{service, database, 0, 0, true});
     }
   for (const auto& update : gone) {
     journal_.line("database " + update.database.get() + " of " + update.service.get() + " is removed");
-    co_await order(ControlMatter::removeDatabase, packed(update));
+    co_await order(ControlCommandType::removeDatabase, packed(update));
   }
   enrolmentsBusy_ = false;
 }
 
 Task<void> Duties::departures(ServiceName name) {
-  std::vector<DatabaseUpdate> leaving;
+  std::vector<DatabaseCommand> leaving;
   for (const auto& [database, own] : state_.databases(name)) {
     const auto* sign = access_.database(name, database);
     if (!sign || !sign->heartbeat.leaving || !fresh(*sign)) continue;
@@ -67,7 +67,7 @@
   }
   for (const auto& update : leaving) {
     journal_.line("database " + update.database.get() + " leaves, its heartbeats say");
-    co_await order(ControlMatter::drainDatabase, packed(update));
+    co_await order(ControlCommandType::drainDatabase, packed(update));
   }
 }
 
@@ -82,8 +82,8 @@
   }
   for (const auto& database : returned) {
     journal_.line("database " + database.get() + " is back");
-    DatabaseUpdate update{name, database, 0, 0, false};
-    co_await order(ControlMatter::returnDatabase, packed(update));
+    DatabaseCommand update{name, database, 0, 0, false};
+    co_await order(ControlCommandType::returnDatabase, packed(update));
   }
 }
 
--- a/src/control/names.hpp
+++ b/src/control/names.hpp
@@ -8,14 +8,14 @@
 
 namespace tamarindshift {
 
-using PlanMark = Strong<struct PlanMarkTag, std::uint64_t>;
+using PlanVersion = Strong<struct PlanVersionTag, std::uint64_t>;
 using Epoch = Strong<struct EpochTag, std::uint64_t>;
 using Position = Strong<struct PositionTag, std::uint64_t>;
-struct Place {
+struct LogPosition {
   Epoch epoch;
   Position position;
-  auto operator<=>(const Place&) const = default;
-  bool operator==(const Place&) const = default;
+  auto operator<=>(const LogPosition&) const = default;
+  bool operator==(const LogPosition&) const = default;
   MSGPACK_DEFINE(epoch, position)
 };
 
--- a/src/control/operator_door.cpp
+++ b/src/control/operator_api.cpp
@@ -1,4 +1,4 @@
-#include "control/operator_door.hpp"
+#include "control/operator_api.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -8,7 +8,7 @@
 
 namespace tamarindshift {
 
-Task<DoorReply> OperatorDoor::serve(DoorRequest request) {
+Task<DoorReply> OperatorApi::serve(DoorRequest request) {
   const auto& path = request.path;
   if (path == "/plan") {
     if (request.method == "GET") {
--- a/src/control/operator_door.hpp
+++ b/src/control/operator_api.hpp
@@ -4,9 +4,9 @@
 
 namespace tamarindshift {
 
-class OperatorDoor : public DoorKeeper {
+class OperatorApi : public DoorKeeper {
  public:
-  explicit OperatorDoor(ReplicaNode& replica, Clock& clock) : replica_(replica), clock_(clock) {}
+  explicit OperatorApi(ReplicaNode& replica, Clock& clock) : replica_(replica), clock_(clock) {}
   Task<DoorReply> serve(DoorRequest request) override;
   void gone(ConnectionId) override {}
 
--- a/src/control/plan.hpp
+++ b/src/control/plan.hpp
@@ -38,7 +38,7 @@
   std::map<BranchName, PlanBranch> branches;
   bool discovered = false;
   std::optional<std::uint32_t> syncReplicas;
-  bool keepsAcknowledged() const { return syncReplicas != 0u; }
+  bool keepsAcknowledgedWrites() const { return syncReplicas != 0u; }
   MSGPACK_DEFINE(databases, connections, branches, discovered, syncReplicas)
 };
 
@@ -50,17 +50,17 @@
   std::set<Label> databases;
   std::set<Label> labels;
   std::optional<Duration> staleness;
-  std::optional<Duration> statement;
-  std::optional<Duration> aim;
+  std::optional<Duration> statementTimeout;
+  std::optional<Duration> targetLatency;
   std::uint32_t order = 0;
   std::string host;
   std::string prefix;
   Duration stalenessBound() const { return staleness.value_or(tamarindshift::stalenessBound(consistency)); }
-  MSGPACK_DEFINE(service, branch, consistency, machines, databases, labels, staleness, statement, aim, order, host, prefix)
+  MSGPACK_DEFINE(service, branch, consistency, machines, databases, labels, staleness, statementTimeout, targetLatency, order, host, prefix)
 };
 
 struct Plan {
-  PlanMark mark;
+  PlanVersion mark;
   std::map<ServiceName, PlanService> services;
   std::map<Address, std::set<Label>> machines;
   std::map<KindName, PlanKind> kinds;
--- a/src/control/plan_check.cpp
+++ b/src/control/plan_check.cpp
@@ -31,9 +31,9 @@
   compare("kind", held.kinds, plan.kinds, check, same);
   compare("machine", held.machines, plan.machines, check, same);
   if (plan.mark < held.mark)
-    check.misfits.push_back("mark " + std::to_string(plan.mark.get()) + " is older than the held " + std::to_string(held.mark.get()));
+    check.errors.push_back("mark " + std::to_string(plan.mark.get()) + " is older than the held " + std::to_string(held.mark.get()));
   if (plan.mark == held.mark && !check.changes.empty())
-    check.misfits.push_back("mark " + std::to_string(plan.mark.get()) + " is held with other content");
+    check.errors.push_back("mark " + std::to_string(plan.mark.get()) + " is held with other content");
 }
 
 void compareWithFleet(const Plan& plan, const Json& status, PlanCheck& check) {
@@ -48,7 +48,7 @@
     });
   };
   for (const auto& [name, kind] : plan.kinds)
-    if (!selects(kind.machines)) check.misfits.push_back("kind " + name.get() + " selects no machine of the fleet");
+    if (!selects(kind.machines)) check.errors.push_back("kind " + name.get() + " selects no machine of the fleet");
   auto living = std::count_if(nodes.begin(), nodes.end(), [](const Json& node) {
     return !node.value("draining", false);
   });
@@ -56,8 +56,8 @@
     for (const auto& [branchName, branch] : service.branches) {
       auto path = name.get() + "/" + branchName.get();
       if (branch.connections < static_cast<std::uint32_t>(living))
-        check.misfits.push_back("branch " + path + " has " + std::to_string(branch.connections) + " connections for " +
-                                std::to_string(living) + " machines");
+        check.errors.push_back("branch " + path + " has " + std::to_string(branch.connections) + " connections for " +
+                               std::to_string(living) + " machines");
       if (branch.floor * static_cast<std::uint64_t>(living) > branch.connections)
         check.warnings.push_back("branch " + path + " cannot give its floor to " + std::to_string(living) + " machines");
     }
--- a/src/control/plan_check.hpp
+++ b/src/control/plan_check.hpp
@@ -13,7 +13,7 @@
 struct PlanCheck {
   std::vector<std::string> changes;
   std::vector<std::string> warnings;
-  std::vector<std::string> misfits;
+  std::vector<std::string> errors;
 };
 
 PlanCheck checkPlan(const Plan& plan, const std::optional<Plan>& held, const nlohmann::json& status);
--- a/src/control/plan_news.cpp
+++ b/src/control/plan_entries.cpp
@@ -1,4 +1,4 @@
-#include "control/plan_news.hpp"
+#include "control/plan_entries.hpp"
 
 #include "wire/pack.hpp"
 
@@ -32,31 +32,31 @@
 
 }  // namespace
 
-void layPlan(NewsTable& table, const FleetPlanNews& plan) {
+void writePlanEntries(NewsTable& table, const PublishedFleetPlan& plan) {
   table[markKey] = packed(plan.mark);
   table[limitsKey] = packed(plan.limits);
   layKinds(table, plan.kinds);
 }
 
-void layPlan(NewsTable& table, const ServiceNews& plan) {
+void writePlanEntries(NewsTable& table, const PublishedServicePlan& plan) {
   table[markKey] = packed(plan.mark);
   table[serviceKey] = packed(plan.service);
   layKinds(table, plan.kinds);
 }
 
-FleetPlanNews fleetPlanIn(const NewsTable& table) {
+PublishedFleetPlan readFleetPlan(const NewsTable& table) {
   using Limits = std::map<std::string, std::uint64_t>;
-  return FleetPlanNews{planMarkIn(table), kindsIn<ServiceName>(table), valueAt<Limits>(table, limitsKey).value_or(Limits{})};
+  return PublishedFleetPlan{readPlanVersion(table), kindsIn<ServiceName>(table), valueAt<Limits>(table, limitsKey).value_or(Limits{})};
 }
 
-std::optional<ServiceNews> servicePlanIn(const NewsTable& table) {
+std::optional<PublishedServicePlan> readServicePlan(const NewsTable& table) {
   auto service = valueAt<PlanService>(table, serviceKey);
   if (!service) return std::nullopt;
-  return ServiceNews{planMarkIn(table), std::move(*service), kindsIn<PlanKind>(table)};
+  return PublishedServicePlan{readPlanVersion(table), std::move(*service), kindsIn<PlanKind>(table)};
 }
 
-PlanMark planMarkIn(const NewsTable& table) {
-  return valueAt<PlanMark>(table, markKey).value_or(PlanMark{});
+PlanVersion readPlanVersion(const NewsTable& table) {
+  return valueAt<PlanVersion>(table, markKey).value_or(PlanVersion{});
 }
 
 bool isPlanKey(const std::string& key) {
--- a/src/control/plan_reader.cpp
+++ b/src/control/plan_reader.cpp
@@ -19,8 +19,8 @@
 
 std::optional<Plan> PlanReader::read(const std::string& text) {
   faults_.clear();
-  if (text.size() > mostBytes) {
-    fault("", "larger than " + std::to_string(mostBytes) + " bytes");
+  if (text.size() > maxBytes) {
+    fault("", "larger than " + std::to_string(maxBytes) + " bytes");
     return std::nullopt;
   }
   Tree tree;
@@ -28,7 +28,7 @@
   auto json = nlohmann::json::parse(
       text,
       [&](int depth, auto, auto&) {
-        tooDeep = tooDeep || depth > mostDepth;
+        tooDeep = tooDeep || depth > maxDepth;
         return !tooDeep;
       },
       false);
@@ -49,9 +49,9 @@
   }
   Plan plan;
   if (!keys(tree, "", {"mark", "services", "kinds"}, {"machines", "weights", "limits", "annotation"})) return std::nullopt;
-  plan.mark = PlanMark{longNumber(tree.get_child("mark"), "mark", 1)};
+  plan.mark = PlanVersion{longNumber(tree.get_child("mark"), "mark", 1)};
   plan.annotation = tree.get<std::string>("annotation", "");
-  if (plan.annotation.size() > mostAnnotation) fault("annotation", "larger than " + std::to_string(mostAnnotation) + " bytes");
+  if (plan.annotation.size() > maxAnnotationBytes) fault("annotation", "larger than " + std::to_string(maxAnnotationBytes) + " bytes");
   if (auto limits = tree.get_child_optional("limits"))
     for (const auto& [key, child] : *limits) {
       auto path = "limits." + key;
@@ -261,8 +261,8 @@
   kind.branch = BranchName{tree.get<std::string>("branch", "")};
   if (auto given = tree.get_child_optional("labels")) kind.labels = labels(*given, path + ".labels");
   kind.staleness = duration(tree, "staleness-ms", path, 0);
-  kind.statement = duration(tree, "statement-ms", path, 1);
-  kind.aim = duration(tree, "aim-ms", path, 1);
+  kind.statementTimeout = duration(tree, "statement-ms", path, 1);
+  kind.targetLatency = duration(tree, "aim-ms", path, 1);
   if (auto given = tree.get_child_optional("order")) kind.order = number(*given, path + ".order", 0, 1000);
   kind.host = line(tree, "host", path);
   kind.prefix = line(tree, "prefix", path);
--- a/src/control/plan_reader.hpp
+++ b/src/control/plan_reader.hpp
@@ -14,9 +14,9 @@
 class PlanReader {
  public:
   // room for some 20,000 routes
-  static constexpr std::size_t mostBytes = 16u << 20;
-  static constexpr std::size_t mostAnnotation = 6u << 20;
-  static constexpr int mostDepth = 32;
+  static constexpr std::size_t maxBytes = 16u << 20;
+  static constexpr std::size_t maxAnnotationBytes = 6u << 20;
+  static constexpr int maxDepth = 32;
 
   std::optional<Plan> read(const std::string& text);
   const std::vector<PlanFault>& faults() const { return faults_; }
--- a/src/control/plan_result.cpp
+++ b/src/control/plan_result.cpp
@@ -37,14 +37,14 @@
 }  // namespace
 
 DoorReply planReply(const PlanResult& result, Duration comeBack) {
-  switch (result.fate) {
-    case PlanFate::notTaken:
+  switch (result.outcome) {
+    case PlanOutcome::notOrdered:
       return refusal(503, "not taken", "no primary component here, or this node is leaving; nothing was taken", comeBack);
-    case PlanFate::unknown:
+    case PlanOutcome::unknown:
       return refusal(504, "outcome unknown", "ask for the plan held, or send the same plan again", comeBack);
-    case PlanFate::broken:
+    case PlanOutcome::broken:
       return brokenReply(result);
-    case PlanFate::judged:
+    case PlanOutcome::ordered:
       return verdictReply(result);
   }
   return brokenReply(result);
--- a/src/control/plan_version_check.hpp
+++ b/src/control/plan_version_check.hpp
@@ -11,7 +11,7 @@
   explicit PlanVersionCheck(Journal& journal) : journal_(journal) {}
 
   /// Looks at the version held now and returns whether it is the same as at the last look.
-  bool note(PlanMark version) {
+  bool note(PlanVersion version) {
     journal_.check(Invariant::planNeverGoesBack, version >= seen_, [&] {
       return "version " + std::to_string(version.get()) + " is held after " + std::to_string(seen_.get());
     });
@@ -22,7 +22,7 @@
 
  private:
   Journal& journal_;
-  PlanMark seen_;
+  PlanVersion seen_;
 };
 
 }  // namespace tamarindshift
--- a/src/control/version_ledger.cpp
+++ b/src/control/plan_version_history.cpp
@@ -1,4 +1,4 @@
-#include "control/version_ledger.hpp"
+#include "control/plan_version_history.hpp"
 
 #include <algorithm>
 #include <array>
@@ -18,7 +18,7 @@
   return verdictNames.at(static_cast<std::size_t>(verdict));
 }
 
-PlanVerdict planVerdict(const std::string& text) {
+PlanVerdict planVerdictFromText(const std::string& text) {
   auto found = std::find(verdictNames.begin(), verdictNames.end(), text);
   if (found == verdictNames.end()) return PlanVerdict::broken;
   return static_cast<PlanVerdict>(found - verdictNames.begin());
@@ -30,26 +30,26 @@
   return ContentDigest{std::string(digest.begin(), digest.end())};
 }
 
-std::optional<PlanVerdict> VersionLedger::known(const ContentDigest& digest) const {
+std::optional<PlanVerdict> PlanVersionHistory::find(const ContentDigest& digest) const {
   auto version = versions_.find(digest);
-  return version == versions_.end() ? std::nullopt : judge(version->second, digest);
+  return version == versions_.end() ? std::nullopt : verdict(version->second, digest);
 }
 
-std::optional<PlanVerdict> VersionLedger::judge(PlanMark version, const ContentDigest& digest) const {
+std::optional<PlanVerdict> PlanVersionHistory::verdict(PlanVersion version, const ContentDigest& digest) const {
   auto found = entries_.find(version);
   if (found != entries_.end()) {
     if (found->second.digest != digest) return PlanVerdict::conflict;
-    return found->second.taken ? PlanVerdict::held : PlanVerdict::overtaken;
+    return found->second.applied ? PlanVerdict::held : PlanVerdict::overtaken;
   }
-  if (version <= forgottenThrough_) return PlanVerdict::overtaken;
+  if (version <= droppedThrough_) return PlanVerdict::overtaken;
   return std::nullopt;
 }
 
-void VersionLedger::note(PlanMark version, ContentDigest digest, bool taken) {
+void PlanVersionHistory::record(PlanVersion version, ContentDigest digest, bool applied) {
   versions_[digest] = version;
-  entries_.try_emplace(version, Entry{std::move(digest), taken});
-  while (entries_.size() > most) {
-    forgottenThrough_ = entries_.begin()->first;
+  entries_.try_emplace(version, Entry{std::move(digest), applied});
+  while (entries_.size() > maxVersions) {
+    droppedThrough_ = entries_.begin()->first;
     versions_.erase(entries_.begin()->second.digest);
     entries_.erase(entries_.begin());
   }
--- a/src/control/version_ledger.hpp
+++ b/src/control/plan_version_history.hpp
@@ -25,41 +25,41 @@
 const char* text(PlanVerdict verdict);
 
 /// The verdict of that name; `broken` for any other text.
-PlanVerdict planVerdict(const std::string& text);
+PlanVerdict planVerdictFromText(const std::string& text);
 
 /// Which content was ordered first under which version. It is part of the replicated control state, so all
 /// members judge alike, and one version never stands for two contents.
 ///
-/// It holds the `most` highest versions. Versions at or below the highest one that was dropped count as overtaken,
-/// whatever their content, so that an order that was once taken is never refused for lack of memory.
-class VersionLedger {
+/// It holds the `maxVersions` highest versions. Versions at or below the highest one that was dropped count as overtaken,
+/// whatever their content, so that an order that was once applied is never refused for lack of memory.
+class PlanVersionHistory {
  public:
-  static constexpr std::size_t most = 4096;
+  static constexpr std::size_t maxVersions = 4096;
 
   /// What is known of a content whatever its version, so that an order that is sent again need not be read again.
-  std::optional<PlanVerdict> known(const ContentDigest& digest) const;
+  std::optional<PlanVerdict> find(const ContentDigest& digest) const;
 
   /// What is known of this version and content; nothing if the version has not been ordered yet.
-  std::optional<PlanVerdict> judge(PlanMark version, const ContentDigest& digest) const;
+  std::optional<PlanVerdict> verdict(PlanVersion version, const ContentDigest& digest) const;
 
-  /// Notes the first content of a version. `taken`: it came into force.
-  void note(PlanMark version, ContentDigest digest, bool taken);
+  /// Notes the first content of a version. `applied`: it came into force.
+  void record(PlanVersion version, ContentDigest digest, bool applied);
 
   std::size_t size() const { return entries_.size(); }
-  PlanMark forgottenThrough() const { return forgottenThrough_; }
+  PlanVersion droppedThrough() const { return droppedThrough_; }
 
  private:
   struct Entry {
     ContentDigest digest;
-    bool taken = false;
-    MSGPACK_DEFINE(digest, taken)
+    bool applied = false;
+    MSGPACK_DEFINE(digest, applied)
   };
-  std::map<PlanMark, Entry> entries_;
-  PlanMark forgottenThrough_;
-  std::map<ContentDigest, PlanMark> versions_;
+  std::map<PlanVersion, Entry> entries_;
+  PlanVersion droppedThrough_;
+  std::map<ContentDigest, PlanVersion> versions_;
 
  public:
-  MSGPACK_DEFINE(entries_, forgottenThrough_, versions_)
+  MSGPACK_DEFINE(entries_, droppedThrough_, versions_)
 };
 
 }  // namespace tamarindshift
--- a/src/control/promotion_duties.cpp
+++ b/src/control/promotion_duties.cpp
@@ -15,8 +15,8 @@
   for (const auto& [database, own] : state_.databases(name)) {
     if (!saysPrimary(name, database)) continue;
     ++leaders;
-    auto at = access_.database(name, database)->heardAt;
-    bool leaves = state_.drained(name, database) != nullptr;
+    auto at = access_.database(name, database)->lastContact;
+    bool leaves = state_.drainMark(name, database) != nullptr;
     if (chosen && std::pair(!leaves, at) < std::pair(!chosenLeaves, heardAt)) continue;
     chosen = database;
     heardAt = at;
@@ -29,8 +29,8 @@
   // which of them leads the newest term is told by their STATUS only
   if (leaders > 1) co_return co_await recover(name, "first primary");
   journal_.line("service " + name.get() + " has its first primary " + chosen->get());
-  RecoveryUpdate update{name, Epoch{}, *chosen, "first primary", false, Epoch{}};
-  co_await order(ControlMatter::recovery, packed(update));
+  RecoveryCommand update{name, Epoch{}, *chosen, "first primary", false, Epoch{}};
+  co_await order(ControlCommandType::recovery, packed(update));
 }
 
 Task<void> Duties::recover(ServiceName name, std::string reason) {
@@ -49,10 +49,10 @@
   }
   if (!onDuty()) co_return;
   bool orderly = leaves || reason == "primary is strained";
-  bool planned = service.promoted ? orderly && saysPrimary(name, service.primary) : service.planned;
+  bool planned = service.promoted ? orderly && saysPrimary(name, service.primary) : service.plannedSwitchover;
   journal_.line("service " + name.get() + " recovers to " + best->database.get() + ": " + reason);
-  RecoveryUpdate update{name, service.epoch, best->database, reason, planned, best->standing.term};
-  co_await order(ControlMatter::recovery, packed(update));
+  RecoveryCommand update{name, service.epoch, best->database, reason, planned, best->standing.term};
+  co_await order(ControlCommandType::recovery, packed(update));
 }
 
 Task<void> Duties::demote(ServiceName name, DatabaseName former) {
@@ -86,28 +86,31 @@
 Task<void> Duties::promote(ServiceName name) {
   auto service = state_.services().at(name);
   if (!present(name, service.primary) || service.drained.contains(service.primary))
-    if (!service.servedBy.get().empty() || !saysPrimary(name, service.primary)) co_return co_await recover(name, "chosen database is gone");
-  bool first = service.servedBy.get().empty();
+    if (!service.lastConfirmedPrimary.get().empty() || !saysPrimary(name, service.primary))
+      co_return co_await recover(name, "chosen database is gone");
+  bool first = service.lastConfirmedPrimary.get().empty();
   if (first && discovered(name) && saysPrimary(name, service.primary)) {
-    PromotedUpdate update{name, service.epoch, service.chosenTerm};
-    co_await order(ControlMatter::promoted, packed(update));
+    PromotedCommand update{name, service.epoch, service.chosenTerm};
+    co_await order(ControlCommandType::promoted, packed(update));
     co_return;
   }
   if (!provedOnDuty()) co_return journal_.count("duties.unproved");
   auto behind = first ? std::nullopt : leftBehind(name, service);
   bool left = !behind;
-  bool demotes = !first && service.servedBy != service.primary && !duties_[name].demotedAt && present(name, service.servedBy);
-  if (demotes && (!service.planned || left || leasesOver(name)) && clock_.now() - duties_[name].demoteAskedAt > timings_.statusPatience) {
+  bool demotes =
+      !first && service.lastConfirmedPrimary != service.primary && !duties_[name].demotedAt && present(name, service.lastConfirmedPrimary);
+  if (demotes && (!service.plannedSwitchover || left || leasesOver(name)) &&
+      clock_.now() - duties_[name].demoteAskedAt > timings_.statusPatience) {
     duties_[name].demoteAskedAt = clock_.now();
-    if (service.planned)
-      co_await demote(name, service.servedBy);
+    if (service.plannedSwitchover)
+      co_await demote(name, service.lastConfirmedPrimary);
     else
-      scope_.spawn(demote(name, service.servedBy));
+      scope_.spawn(demote(name, service.lastConfirmedPrimary));
   }
   if (!pending(name, service.epoch)) co_return;
   const auto& duty = duties_[name];
   bool ready = left || leasesOver(name) || (!discovered(name) && duty.demotedAt);
-  bool awaitsDemote = service.planned && demotes && !duty.demotedAt && !leasesOver(name);
+  bool awaitsDemote = service.plannedSwitchover && demotes && !duty.demotedAt && !leasesOver(name);
   if (!ready && clock_.now() - duty.seenAt > timings_.statusPatience)
     wait(name, "node " + behind->get() + " has not left the former epoch");
   if (!ready || awaitsDemote || clock_.now() < duty.promoteAfter) co_return;
@@ -137,32 +140,33 @@
 }
 
 PromotionProof Duties::promotionProof(const ServiceName& name, const ServiceState& service) const {
-  auto lastLed = std::max(service.ledTerm, access_.acknowledged(name).epoch);
+  auto lastLed = std::max(service.confirmedTerm, access_.acknowledged(name).epoch);
   return PromotionProof(service.chosenTerm, lastLed, clock_.now(), timings_.promotionEffect);
 }
 
 Task<void> Duties::confirm(ServiceName name, ServiceState service, Epoch term) {
   if (!pending(name, service.epoch)) co_return;
   waits_.erase(name);
-  PromotedUpdate update{name, service.epoch, term};
-  if (co_await order(ControlMatter::promoted, packed(update)))
+  PromotedCommand update{name, service.epoch, term};
+  if (co_await order(ControlCommandType::promoted, packed(update)))
     journal_.line("service " + name.get() + " is led by " + service.primary.get());
 }
 
-Place Duties::needed(const ServiceName& name, const ServiceState& service) const {
+LogPosition Duties::needed(const ServiceName& name, const ServiceState& service) const {
   const auto& duty = duties_.at(name);
   bool keeps = keepsAcknowledged(name);
-  auto needed = keeps ? access_.acknowledged(name) : Place{};
+  auto needed = keeps ? access_.acknowledged(name) : LogPosition{};
   bool mayReach = duty.demotedAt && clock_.now() - *duty.demotedAt <= timings_.lease + timings_.leaseMargin;
-  return mayReach && (keeps || service.planned) ? std::max(needed, duty.finalPlace) : needed;
+  return mayReach && (keeps || service.plannedSwitchover) ? std::max(needed, duty.finalPlace) : needed;
 }
 
 // in a planned change the chosen database is asked again until it has what is needed, for a while
-Task<std::optional<DatabaseStanding>> Duties::reached(ServiceName name, ServiceState service, Place needed,
+Task<std::optional<DatabaseStanding>> Duties::reached(ServiceName name, ServiceState service, LogPosition needed,
                                                       std::optional<DatabaseStanding> standing) {
   auto deadline = clock_.now() + timings_.statusPatience;
   for (Duration pause = 30ms;; pause = pause * 3 / 2) {
-    bool waits = service.planned && standing && standing->place() < needed && clock_.now() < deadline && pending(name, service.epoch);
+    bool waits =
+        service.plannedSwitchover && standing && standing->place() < needed && clock_.now() < deadline && pending(name, service.epoch);
     if (!waits) co_return standing;
     co_await sleep(clock_, pause);
     standing = co_await status(name, service.primary, timings_.statusPatience);
@@ -172,7 +176,7 @@
 Task<bool> Duties::holdsNeeded(ServiceName name, ServiceState service) {
   bool keeps = keepsAcknowledged(name);
   auto needed = this->needed(name, service);
-  if (!keeps && needed == Place{}) co_return true;
+  if (!keeps && needed == LogPosition{}) co_return true;
   auto among = keeps ? candidates(name, std::nullopt) : std::vector<DatabaseName>{};
   auto others = keeps && mayLackReports(name, service) ? otherReplicas(name, among) : std::vector<DatabaseName>{};
   std::set<DatabaseName> asked(among.begin(), among.end());
@@ -210,7 +214,7 @@
 
 // why commits may have been acknowledged that no node has told of
 std::optional<std::string> Duties::mayLackReports(const ServiceName& name, const ServiceState& service) const {
-  bool first = service.servedBy.get().empty();
+  bool first = service.lastConfirmedPrimary.get().empty();
   return first ? std::nullopt : unproved(name);
 }
 
@@ -222,7 +226,7 @@
 }
 
 // whether the chosen database may lead though it lacks acknowledged commits; else one that holds them is chosen, or awaited
-Task<bool> Duties::givesUp(ServiceName name, ServiceState service, Place needed) {
+Task<bool> Duties::givesUp(ServiceName name, ServiceState service, LogPosition needed) {
   auto age = clock_.now() - duties_[name].seenAt;
   if (age <= timings_.lease + timings_.leaseMargin + timings_.databaseOut) {
     wait(name, "the chosen database has not all that was acknowledged");
@@ -251,12 +255,12 @@
   DutyHolder holder{own_.address, fence, [this, fence] {
                       return provedOnDuty() && engine_.primComponent().primIndex == fence;
                     }};
-  dutyEpochs_.note(holder.fence, provedOnDuty());
+  dutyEpochs_.note(holder.fencingToken, provedOnDuty());
   auto outcome = co_await databases_.promote(*chosen, service.epoch, holder, calledAt + timings_.promotePatience);
   if (!pending(name, service.epoch)) co_return;
   if (outcome == PromotionOutcome::refused) co_return co_await recover(name, "the chosen database cannot become primary");
   std::optional<Epoch> led;
-  if (outcome == PromotionOutcome::led) led = service.epoch;
+  if (outcome == PromotionOutcome::promoted) led = service.epoch;
   if (outcome == PromotionOutcome::accepted) led = co_await leads(name, service, calledAt);
   if (!pending(name, service.epoch)) co_return;
   if (!led) {
@@ -277,7 +281,7 @@
   Duration pause = timings_.duty;
   while (pending(name, service.epoch) && clock_.now() - calledAt < 10 * timings_.leadPatience) {
     const auto* sign = access_.database(name, service.primary);
-    bool tellsToLead = sign && sign->heardAt > calledAt && sign->heartbeat.role == "primary";
+    bool tellsToLead = sign && sign->lastContact > calledAt && sign->heartbeat.role == "primary";
     if (tellsToLead && !std::exchange(toldToLead, true)) askAgainAt = clock_.now();
     if (clock_.now() >= askAgainAt) {
       auto askedAt = clock_.now();
--- a/src/control/service_news.hpp
+++ b/src/control/published_entries.hpp
@@ -4,33 +4,33 @@
 
 namespace tamarindshift {
 
-struct ServiceNews {
-  PlanMark mark;
+struct PublishedServicePlan {
+  PlanVersion mark;
   PlanService service;
   std::map<KindName, PlanKind> kinds;
 };
 
-struct PrimaryNews {
+struct PublishedPrimary {
   Epoch epoch;
   DatabaseName primary;
   bool promoted = false;
-  bool planned = false;
-  MSGPACK_DEFINE(epoch, primary, promoted, planned)
+  bool plannedSwitchover = false;
+  MSGPACK_DEFINE(epoch, primary, promoted, plannedSwitchover)
 };
 
-struct DatabaseNews {
+struct PublishedDatabase {
   Address address;
   Zone zone;
   std::uint32_t capacity = 0;
   MSGPACK_DEFINE(address, zone, capacity)
 };
 
-struct ShareNews {
-  std::map<BranchName, std::uint32_t> most;
-  MSGPACK_DEFINE(most)
+struct PublishedShare {
+  std::map<BranchName, std::uint32_t> connections;
+  MSGPACK_DEFINE(connections)
 };
 
-struct NodeNews {
+struct PublishedNode {
   Zone zone;
   bool draining = false;
   std::set<Label> labels;
@@ -39,8 +39,8 @@
   MSGPACK_DEFINE(zone, draining, labels, boot, enrolledAt)
 };
 
-struct FleetPlanNews {
-  PlanMark mark;
+struct PublishedFleetPlan {
+  PlanVersion mark;
   std::map<KindName, ServiceName> kinds;
   std::map<std::string, std::uint64_t> limits;
 };
--- a/src/control/ration_duties.cpp
+++ b/src/control/ration_duties.cpp
@@ -15,7 +15,7 @@
 std::map<DatabaseName, NodeDemands> Duties::demands(const ServiceName& name) const {
   std::map<DatabaseName, NodeDemands> demands;
   for (const auto& [address, node] : access_.nodes()) {
-    if (clock_.now() - node.heardAt > timings_.suspicionKept) continue;
+    if (clock_.now() - node.lastContact > timings_.suspicionKept) continue;
     auto own = node.report.services.find(name);
     if (own == node.report.services.end()) continue;
     for (const auto& [database, orders] : own->second.demands) demands[database][address] = orders;
@@ -44,8 +44,8 @@
       journal_.line("database " + database.get() + " of " + name.get() +
                     (ration ? " is crowded, its work goes by order" : " is rationed no more"));
     journal_.count("duties.rations");
-    RationUpdate update{name, database, ration};
-    orders.emplace_back(ControlMatter::ration, packed(update));
+    RationCommand update{name, database, ration};
+    orders.emplace_back(ControlCommandType::ration, packed(update));
   }
   co_await orderAll(std::move(orders));
 }
--- a/src/control/recovery_duties.cpp
+++ b/src/control/recovery_duties.cpp
@@ -91,7 +91,7 @@
 }
 
 std::optional<DatabaseTarget> Duties::target(const ServiceName& service, const DatabaseName& database) const {
-  const auto* planned = state_.planned(service);
+  const auto* planned = state_.plannedService(service);
   if (!planned) return std::nullopt;
   if (planned->discovered) {
     const auto* own = state_.enrolled(service, database);
@@ -102,13 +102,13 @@
 }
 
 bool Duties::discovered(const ServiceName& name) const {
-  const auto* planned = state_.planned(name);
+  const auto* planned = state_.plannedService(name);
   return planned && planned->discovered;
 }
 
 bool Duties::keepsAcknowledged(const ServiceName& name) const {
-  const auto* planned = state_.planned(name);
-  return !planned || planned->keepsAcknowledged();
+  const auto* planned = state_.plannedService(name);
+  return !planned || planned->keepsAcknowledgedWrites();
 }
 
 // also false where the duties were laid down since, and what was seen under them is forgotten
@@ -136,9 +136,9 @@
   std::size_t working = 0;
   std::size_t suspecting = 0;
   for (const auto& [address, node] : access_.nodes()) {
-    if (clock_.now() - node.heardAt > timings_.suspicionKept) continue;
+    if (clock_.now() - node.lastContact > timings_.suspicionKept) continue;
     auto own = node.report.services.find(name);
-    if (own == node.report.services.end() || !own->second.working) continue;
+    if (own == node.report.services.end() || !own->second.hasRecentWork) continue;
     ++working;
     if ((own->second.*told).contains(database)) ++suspecting;
   }
@@ -160,7 +160,7 @@
 bool Duties::everyNodeHeard() const {
   return std::all_of(state_.nodes().begin(), state_.nodes().end(), [&](const auto& each) {
     const auto* known = heard(each.first);
-    return known && clock_.now() - known->heardAt <= timings_.suspicionKept;
+    return known && clock_.now() - known->lastContact <= timings_.suspicionKept;
   });
 }
 
@@ -204,8 +204,8 @@
   for (const auto& [database, own] : state_.databases(name)) {
     if (database == besides) continue;
     const auto* sign = access_.database(name, database);
-    bool lost = discovered(name) &&
-                ((sign && clock_.now() - sign->heardAt > 3 * timings_.silence()) || suspected(name, database) || strained(name, database));
+    bool lost = discovered(name) && ((sign && clock_.now() - sign->lastContact > 3 * timings_.silence()) || suspected(name, database) ||
+                                     strained(name, database));
     if (discovered(name) && drained.contains(database)) continue;
     (drained.contains(database) || lost ? others : wanted).push_back(database);
   }
@@ -253,14 +253,15 @@
 
 std::optional<std::string> Duties::unproved(const ServiceName& name) const {
   const auto& service = state_.services().at(name);
-  const auto* primary = access_.database(name, service.servedBy);
-  if (!primary || access_.lastLost() > primary->heardAt - timings_.databaseOut) return "a node that may have acknowledged more is gone";
+  const auto* primary = access_.database(name, service.lastConfirmedPrimary);
+  if (!primary || access_.lastContactOfLostNodes() > primary->lastContact - timings_.databaseOut)
+    return "a node that may have acknowledged more is gone";
   for (const auto& [address, node] : state_.nodes())
     if (!heard(address)) return "node " + address.get() + " has not reported";
   for (const auto& [address, known] : access_.nodes()) {
     auto own = known.report.services.find(name);
     bool current = reporting(known) && own != known.report.services.end() && own->second.epoch >= service.epoch;
-    if (!current && known.heardAt > primary->heardAt - timings_.databaseOut)
+    if (!current && known.lastContact > primary->lastContact - timings_.databaseOut)
       return "node " + address.get() + " has not reported what it acknowledged";
   }
   return std::nullopt;
@@ -270,17 +271,17 @@
   auto service = state_.services().find(name);
   auto duty = duties_.find(name);
   if (service == state_.services().end() || duty == duties_.end()) return false;
-  const auto& servedBy = service->second.servedBy;
-  if (servedBy.get().empty() || database == servedBy) return false;
+  const auto& lastConfirmedPrimary = service->second.lastConfirmedPrimary;
+  if (lastConfirmedPrimary.get().empty() || database == lastConfirmedPrimary) return false;
   const auto* own = access_.database(name, database);
-  const auto* primary = access_.database(name, servedBy);
+  const auto* primary = access_.database(name, lastConfirmedPrimary);
   if (!own) return clock_.now() - duty->second.takenAt < timings_.databaseOut;
-  auto primaryHeardAt = primary ? primary->heardAt : clock_.now();
-  return primaryHeardAt - own->heardAt < timings_.databaseOut;
+  auto primaryHeardAt = primary ? primary->lastContact : clock_.now();
+  return primaryHeardAt - own->lastContact < timings_.databaseOut;
 }
 
-Task<bool> Duties::order(ControlMatter matter, std::string body) {
-  ControlUpdate update{matter, engine_.primComponent().primIndex, std::move(body)};
+Task<bool> Duties::order(ControlCommandType matter, std::string body) {
+  ControlCommand update{matter, engine_.primComponent().primIndex, std::move(body)};
   auto outcome = co_await engine_.order(packed(update), clock_.now() + timings_.orderPatience);
   bool held = outcome.fate == OrderFate::green && outcome.reply == "held";
   if (!held) journal_.count("duties.orders_not_held");
--- a/src/control/replica_node.cpp
+++ b/src/control/replica_node.cpp
@@ -19,12 +19,13 @@
       state_(board_),
       desk_(clock, link, incarnation),
       core_(clock, link, store, state_, journal,
-            CoreSettings{settings_.address, settings_.seeds, settings_.timings.group, settings_.bounds, settings_.mayFound}, incarnation) {}
+            CoreSettings{settings_.address, settings_.seeds, settings_.timings.group, settings_.bounds, settings_.mayBootstrap},
+            incarnation) {}
 
 std::optional<std::string> ReplicaNode::start() {
   if (auto fault = core_.start()) return fault;
-  duties_ = std::make_unique<Duties>(clock_, journal_, settings_.timings, engine(), state_, access_, databases_, core_.own(),
-                                     settings_.losses, settings_.rations);
+  duties_ = std::make_unique<Duties>(clock_, journal_, settings_.timings, engine(), state_, reports_, databases_, core_.own(),
+                                     settings_.toleratedLosses, settings_.rations);
   news_ = std::make_unique<NewsDesk>(clock_, desk_, board_, *this, settings_.timings.newsWait);
   serveDesk();
   scope_.spawn(watchDisk());
@@ -49,12 +50,12 @@
   desk_.serve("report", [this](Address from, std::string body) -> Task<std::optional<std::string>> {
     auto report = unpacked<NodeReport>(body);
     if (!report) co_return std::nullopt;
-    if (access_.misses(*report)) desk_.tell(from, "report-whole", {});
-    if (access_.noteReport(std::move(*report), clock_.now())) duties_->wake();
+    if (reports_.lacksBase(*report)) desk_.tell(from, "report-whole", {});
+    if (reports_.recordReport(std::move(*report), clock_.now())) duties_->wake();
     co_return std::nullopt;
   });
   desk_.serve("heartbeat", [this](Address, std::string body) -> Task<std::optional<std::string>> {
-    if (auto heartbeat = unpacked<DatabaseHeartbeat>(body)) noteHeartbeat(*heartbeat, false);
+    if (auto heartbeat = unpacked<DatabaseHeartbeat>(body)) recordHeartbeat(*heartbeat, false);
     co_return std::nullopt;
   });
   serveHeartbeats("heartbeat-ask", &ReplicaNode::heartbeat);
@@ -84,22 +85,22 @@
 }
 
 std::vector<DatabaseSign> ReplicaNode::signs(const Topic& topic) {
-  return access_.signs(ServiceName{topic}, clock_.now());
+  return reports_.signs(ServiceName{topic}, clock_.now());
 }
 
-bool ReplicaNode::known(const DatabaseHeartbeat& heartbeat) const {
-  if (state_.listed(heartbeat.service)) return state_.planned(heartbeat.service)->databases.contains(heartbeat.database);
+bool ReplicaNode::isKnown(const DatabaseHeartbeat& heartbeat) const {
+  if (state_.hasListedDatabases(heartbeat.service)) return state_.plannedService(heartbeat.service)->databases.contains(heartbeat.database);
   return state_.enrolled(heartbeat.service, heartbeat.database) || !heartbeat.address.get().empty();
 }
 
-bool ReplicaNode::noteHeartbeat(const DatabaseHeartbeat& heartbeat, bool relay) {
-  if (!known(heartbeat)) {
+bool ReplicaNode::recordHeartbeat(const DatabaseHeartbeat& heartbeat, bool relay) {
+  if (!isKnown(heartbeat)) {
     journal_.count("heartbeats.unplanned");
     return false;
   }
-  const auto* before = access_.database(heartbeat.service, heartbeat.database);
+  const auto* before = reports_.database(heartbeat.service, heartbeat.database);
   bool news = !before || before->heartbeat.role != heartbeat.role || before->heartbeat.leaving != heartbeat.leaving;
-  if (!access_.noteHeartbeat(heartbeat, clock_.now(), settings_.timings.silence()))
+  if (!reports_.recordHeartbeat(heartbeat, clock_.now(), settings_.timings.silence()))
     journal_.count("heartbeats.older");
   else if (news)
     duties_->wake();
@@ -109,7 +110,7 @@
   return true;
 }
 
-void ReplicaNode::change(ReplicaSettings settings) {
+void ReplicaNode::updateSettings(ReplicaSettings settings) {
   settings_ = std::move(settings);
   engine().change(settings_.bounds);
 }
@@ -127,10 +128,10 @@
   auto deadline = *drainingSince_ + settings_.timings.orderPatience;
   auto pause = settings_.timings.group.heartbeat / 4;
   const auto& own = core_.own();
-  while (clock_.now() < deadline && (ordering_ > 0 || !MemberReplacement::othersHoldAll(engine(), own, settings_.losses)))
+  while (clock_.now() < deadline && (ordering_ > 0 || !MemberReplacement::othersHoldAll(engine(), own, settings_.toleratedLosses)))
     co_await sleep(clock_, pause);
-  if (MemberReplacement::spare(engine(), own, settings_.losses)) engine().requestLeave(own);
-  while (clock_.now() < deadline && MemberReplacement::spare(engine(), own, settings_.losses)) co_await sleep(clock_, pause);
+  if (MemberReplacement::spare(engine(), own, settings_.toleratedLosses)) engine().requestLeave(own);
+  while (clock_.now() < deadline && MemberReplacement::spare(engine(), own, settings_.toleratedLosses)) co_await sleep(clock_, pause);
   core_.retire();
   handedOverAt_ = clock_.now();
 }
@@ -141,10 +142,10 @@
   return handedOverAt_ && clock_.now() - *handedOverAt_ >= 2 * settings_.timings.group.heartbeat;
 }
 
-Task<OrderOutcome> ReplicaNode::order(ControlMatter matter, std::string body) {
+Task<OrderOutcome> ReplicaNode::order(ControlCommandType type, std::string body) {
   ++ordering_;
-  ControlUpdate update{matter, 0, std::move(body)};
-  auto outcome = co_await engine().order(packed(update), clock_.now() + settings_.timings.orderPatience);
+  ControlCommand command{type, 0, std::move(body)};
+  auto outcome = co_await engine().order(packed(command), clock_.now() + settings_.timings.orderPatience);
   --ordering_;
   co_return outcome;
 }
@@ -155,24 +156,24 @@
   auto plan = reader.read(text);
   if (!plan) {
     journal_.count("operator.plans_broken");
-    result.fate = PlanFate::broken;
+    result.outcome = PlanOutcome::broken;
     result.faults = reader.faults();
     co_return result;
   }
   result.version = plan->mark;
-  if (cannotOrder()) co_return result;
-  PlanUpdate update{std::move(text)};
-  auto outcome = co_await order(ControlMatter::plan, packed(update));
+  if (orderingRefusal()) co_return result;
+  PlanCommand command{std::move(text)};
+  auto outcome = co_await order(ControlCommandType::plan, packed(command));
   if (state_.plan()) result.held = state_.plan()->mark;
   result.position = outcome.position;
   if (outcome.fate == OrderFate::refused) co_return result;
   if (outcome.fate == OrderFate::unknown) {
     journal_.count("operator.plans_unknown");
-    result.fate = PlanFate::unknown;
+    result.outcome = PlanOutcome::unknown;
     co_return result;
   }
-  result.fate = PlanFate::judged;
-  result.verdict = planVerdict(outcome.reply);
+  result.outcome = PlanOutcome::ordered;
+  result.verdict = planVerdictFromText(outcome.reply);
   if (result.verdict == PlanVerdict::held) journal_.count("operator.plans_held");
   if (result.verdict == PlanVerdict::conflict) journal_.count("operator.plans_conflicting");
   co_return result;
@@ -183,7 +184,7 @@
   co_return planReply(result, settings_.timings.comeBack);
 }
 
-std::optional<DoorReply> ReplicaNode::cannotOrder() const {
+std::optional<DoorReply> ReplicaNode::orderingRefusal() const {
   auto comeBack = settings_.timings.comeBack;
   if (auto fault = engine().diskFault()) return refusal(503, "the disk of this member refuses writes", *fault, comeBack);
   if (engine().state() == EngineState::nonPrim || !engine().member()) return refusal(503, "no primary component", {}, comeBack);
@@ -192,8 +193,8 @@
 }
 
 // the same call may come here once more after another member relayed it: what counts is the newest one known
-bool ReplicaNode::saysLeaving(const DatabaseHeartbeat& heartbeat) const {
-  const auto* newest = access_.database(heartbeat.service, heartbeat.database);
+bool ReplicaNode::isLeaving(const DatabaseHeartbeat& heartbeat) const {
+  const auto* newest = reports_.database(heartbeat.service, heartbeat.database);
   return newest ? newest->heartbeat.leaving : heartbeat.leaving;
 }
 
@@ -201,30 +202,30 @@
   auto comeBack = settings_.timings.comeBack;
   const auto* enrolled = state_.enrolled(heartbeat.service, heartbeat.database);
   bool departed = !enrolled && state_.departed(heartbeat.database);
-  bool late = access_.older(heartbeat, clock_.now(), settings_.timings.silence());
-  if (!departed && !noteHeartbeat(heartbeat, true)) co_return refusal(404, "no such database in the plan held here");
-  bool listed = state_.listed(heartbeat.service);
+  bool late = reports_.isOutdated(heartbeat, clock_.now(), settings_.timings.silence());
+  if (!departed && !recordHeartbeat(heartbeat, true)) co_return refusal(404, "no such database in the plan held here");
+  bool listed = state_.hasListedDatabases(heartbeat.service);
   bool fits = departed || late || listed || (enrolled && (heartbeat.address.get().empty() || enrolled->address == heartbeat.address));
-  bool drains = !departed && !listed && saysLeaving(heartbeat) && !state_.drained(heartbeat.service, heartbeat.database);
+  bool drains = !departed && !listed && isLeaving(heartbeat) && !state_.drainMark(heartbeat.service, heartbeat.database);
   if (!fits || drains) {
-    if (auto refusal = cannotOrder()) co_return *refusal;
+    if (auto refusal = orderingRefusal()) co_return *refusal;
   } else if (!leaseUntil(fleetTopic)) {
     co_return refusal(503, "not in a proved primary component", {}, comeBack);
   }
   if (!fits)
     if (auto refusal = co_await enrol(heartbeat)) co_return *refusal;
   if (drains) {
-    DatabaseUpdate update{heartbeat.service, heartbeat.database, heartbeat.boot, heartbeat.number, false};
-    auto outcome = co_await order(ControlMatter::drainDatabase, packed(update));
+    DatabaseCommand command{heartbeat.service, heartbeat.database, heartbeat.boot, heartbeat.number, false};
+    auto outcome = co_await order(ControlCommandType::drainDatabase, packed(command));
     if (outcome.fate != OrderFate::green || outcome.reply != "held") co_return refusal(503, "not taken in time", "send it again", comeBack);
   }
   co_return DoorReply{200, "{}", std::nullopt};
 }
 
 Task<std::optional<DoorReply>> ReplicaNode::enrol(DatabaseHeartbeat heartbeat) {
-  EnrolmentUpdate update{heartbeat.service,  heartbeat.database, heartbeat.address, heartbeat.zone,
-                         heartbeat.capacity, heartbeat.boot,     heartbeat.number,  heartbeat.role};
-  auto outcome = co_await order(ControlMatter::enrolDatabase, packed(update));
+  EnrolmentCommand command{heartbeat.service,  heartbeat.database, heartbeat.address, heartbeat.zone,
+                           heartbeat.capacity, heartbeat.boot,     heartbeat.number,  heartbeat.role};
+  auto outcome = co_await order(ControlCommandType::enrolDatabase, packed(command));
   std::optional<DoorReply> refused;
   if (outcome.fate != OrderFate::green)
     refused = refusal(503, "not taken in time", "send it again", settings_.timings.comeBack);
@@ -235,13 +236,13 @@
 
 Task<DoorReply> ReplicaNode::detach(DatabaseHeartbeat heartbeat) {
   heartbeat.leaving = true;
-  bool listed = state_.listed(heartbeat.service);
+  bool listed = state_.hasListedDatabases(heartbeat.service);
   bool enrols = !listed && !heartbeat.address.get().empty();
-  if (!noteHeartbeat(heartbeat, true) && leaseUntil(fleetTopic)) co_return refusal(404, "no such database");
+  if (!recordHeartbeat(heartbeat, true) && leaseUntil(fleetTopic)) co_return refusal(404, "no such database");
   auto comeBack = settings_.timings.comeBack;
-  if (auto refusal = cannotOrder()) co_return *refusal;
-  DatabaseUpdate update{heartbeat.service, heartbeat.database, heartbeat.boot, heartbeat.number, !listed};
-  auto outcome = co_await order(ControlMatter::drainDatabase, packed(update));
+  if (auto refusal = orderingRefusal()) co_return *refusal;
+  DatabaseCommand command{heartbeat.service, heartbeat.database, heartbeat.boot, heartbeat.number, !listed};
+  auto outcome = co_await order(ControlCommandType::drainDatabase, packed(command));
   if (outcome.fate != OrderFate::green) co_return refusal(503, "not taken in time", "send it again", comeBack);
   if (outcome.reply != "held" && !enrols) co_return refusal(404, outcome.reply);
   co_return DoorReply{200, nlohmann::json{{"position", outcome.position}}.dump(), std::nullopt};
@@ -253,11 +254,11 @@
     heartbeat.service = *service;
     heartbeat.database = database;
     heartbeat.leaving = true;
-    noteHeartbeat(heartbeat, true);
+    recordHeartbeat(heartbeat, true);
   }
-  if (auto refusal = cannotOrder()) co_return *refusal;
-  DatabaseUpdate update{{}, std::move(database), 0, 0, true};
-  auto outcome = co_await order(ControlMatter::drainDatabase, packed(update));
+  if (auto refusal = orderingRefusal()) co_return *refusal;
+  DatabaseCommand command{{}, std::move(database), 0, 0, true};
+  auto outcome = co_await order(ControlCommandType::drainDatabase, packed(command));
   if (outcome.fate != OrderFate::green) co_return refusal(503, "not taken in time", "send it again", settings_.timings.comeBack);
   co_return DoorReply{200, "{}", std::nullopt};
 }
--- a/src/control/replica_node.hpp
+++ b/src/control/replica_node.hpp
@@ -21,7 +21,7 @@
   ReplicationEngine& engine() { return core_.engine(); }
   const SequencedGroup& group() const { return core_.group(); }
   const ControlState& state() const { return state_; }
-  const AccessTables& access() const { return access_; }
+  const ReportTables& reports() const { return reports_; }
   const Duties& duties() const { return *duties_; }
   const ReplicaSettings& settings() const { return settings_; }
   const NewsBoard& board() const { return board_; }
@@ -41,7 +41,7 @@
   void drain();
   bool draining() const { return drainingSince_.has_value(); }
   bool stopped() const;
-  void change(ReplicaSettings settings);
+  void updateSettings(ReplicaSettings settings);
   Task<DoorReply> removeMember(Address address);
 
   std::optional<Instant> leaseUntil(const Topic& topic) override;
@@ -50,13 +50,13 @@
   std::uint64_t position(const Topic&) override { return state_.position(); }
 
  private:
-  bool noteHeartbeat(const DatabaseHeartbeat& heartbeat, bool relay);
-  bool known(const DatabaseHeartbeat& heartbeat) const;
-  bool saysLeaving(const DatabaseHeartbeat& heartbeat) const;
+  bool recordHeartbeat(const DatabaseHeartbeat& heartbeat, bool relay);
+  bool isKnown(const DatabaseHeartbeat& heartbeat) const;
+  bool isLeaving(const DatabaseHeartbeat& heartbeat) const;
   Task<std::optional<DoorReply>> enrol(DatabaseHeartbeat heartbeat);
-  std::optional<DoorReply> cannotOrder() const;
+  std::optional<DoorReply> orderingRefusal() const;
   void serveHeartbeats(const std::string& subject, Task<DoorReply> (ReplicaNode::*taken)(DatabaseHeartbeat));
-  Task<OrderOutcome> order(ControlMatter matter, std::string body);
+  Task<OrderOutcome> order(ControlCommandType type, std::string body);
   void serveDesk();
   Task<void> handOver();
   Task<void> watchDisk();
@@ -67,7 +67,7 @@
   ReplicaSettings settings_;
   NewsBoard board_;
   ControlState state_;
-  AccessTables access_;
+  ReportTables reports_;
   Desk desk_;
   Core core_;
   std::unique_ptr<Duties> duties_;
--- a/src/control/replica_settings.hpp
+++ b/src/control/replica_settings.hpp
@@ -14,9 +14,9 @@
   std::set<Address> seeds;
   Timings timings;
   EngineBounds bounds;
-  bool mayFound = true;
+  bool mayBootstrap = true;
   // machines of the group that may be lost at once; 0 lets no member go by itself
-  std::size_t losses = 0;
+  std::size_t toleratedLosses = 0;
   // whether nodes are told which work a crowded database gets first; all replicas must know how (docs/operating.md)
   bool rations = false;
 };
--- a/src/control/replica_status.cpp
+++ b/src/control/replica_status.cpp
@@ -53,13 +53,13 @@
   for (const auto& [node, branches] : service.grants)
     for (const auto& [branch, amount] : branches) own["shares"][node.get()][branch.get()] = amount;
   for (const auto& [node, share] : service.reserved)
-    for (const auto& [branch, amount] : share.most) own["reserved"][node.get()][branch.get()] = amount;
+    for (const auto& [branch, amount] : share.connections) own["reserved"][node.get()][branch.get()] = amount;
   for (const auto& [database, ration] : service.rations) {
     auto& told = own["rations"][database.get()];
     told["free_through"] = ration.freeThrough;
     for (const auto& [node, amount] : ration.later) told["later"][node.get()] = amount;
   }
-  for (const auto& sign : replica.access().signs(name, now))
+  for (const auto& sign : replica.reports().signs(name, now))
     own["databases"][sign.database] = {{"role", sign.role},
                                        {"epoch", sign.epoch},
                                        {"position", sign.position},
@@ -77,19 +77,20 @@
 }
 
 void addNodes(Json& json, const ReplicaNode& replica, Instant now) {
-  const auto& heard = replica.access().nodes();
+  const auto& heard = replica.reports().nodes();
   for (const auto& [address, node] : replica.state().nodes()) {
     auto& own = json["nodes"][address.get()];
     own = {{"zone", node.zone.get()}, {"draining", node.draining}};
     auto known = heard.find(address);
     if (known == heard.end()) continue;
-    own["heard_ms_ago"] = milliseconds(now - known->second.heardAt).count();
+    own["heard_ms_ago"] = milliseconds(now - known->second.lastContact).count();
     own["plan_mark"] = known->second.report.mark.get();
     own["lease_ms"] = milliseconds(known->second.report.lease).count();
   }
   for (const auto& [address, node] : heard)
     if (!replica.state().nodes().contains(address))
-      json["unregistered"][address.get()] = {{"zone", node.report.zone.get()}, {"heard_ms_ago", milliseconds(now - node.heardAt).count()}};
+      json["unregistered"][address.get()] = {{"zone", node.report.zone.get()},
+                                             {"heard_ms_ago", milliseconds(now - node.lastContact).count()}};
 }
 
 }  // namespace
--- a/src/control/access_messages.hpp
+++ b/src/control/report_messages.hpp
@@ -6,17 +6,17 @@
 namespace tamarindshift {
 
 struct ServiceReport {
-  std::uint64_t followed = 0;
+  std::uint64_t appliedPosition = 0;
   Epoch epoch;
-  Place acknowledged;
-  std::map<BranchName, std::uint32_t> wanted;
+  LogPosition acknowledged;
+  std::map<BranchName, std::uint32_t> connectionDemand;
   std::set<DatabaseName> suspects;
-  bool working = false;
+  bool hasRecentWork = false;
   std::set<DatabaseName> strained;
   // what work of each order asked of databases since the last report
   std::map<DatabaseName, OrderedDemand> demands;
   bool operator==(const ServiceReport&) const = default;
-  MSGPACK_DEFINE(followed, epoch, acknowledged, wanted, suspects, working, strained, demands)
+  MSGPACK_DEFINE(appliedPosition, epoch, acknowledged, connectionDemand, suspects, hasRecentWork, strained, demands)
 };
 
 struct NodeReport {
@@ -24,15 +24,15 @@
   Zone zone;
   std::uint64_t boot = 0;
   bool draining = false;
-  PlanMark mark;
+  PlanVersion mark;
   Duration lease{};
   std::map<ServiceName, ServiceReport> services;
   // false: services that are not named are as the last report of this boot said
-  bool whole = true;
+  bool full = true;
   // rises with each report; one that is not whole goes on from the report `after`, if that is not 0
   std::uint64_t number = 0;
-  std::uint64_t after = 0;
-  MSGPACK_DEFINE(node, zone, boot, draining, mark, lease, services, whole, number, after)
+  std::uint64_t baseNumber = 0;
+  MSGPACK_DEFINE(node, zone, boot, draining, mark, lease, services, full, number, baseNumber)
 };
 
 struct DatabaseHeartbeat {
--- a/src/control/share_check.cpp
+++ b/src/control/share_check.cpp
@@ -11,7 +11,7 @@
   for (const auto& [node, branches] : service.grants)
     for (const auto& [branch, amount] : branches) held[branch] += amount;
   for (const auto& [node, share] : service.reserved)
-    for (const auto& [branch, amount] : share.most) held[branch] += amount;
+    for (const auto& [branch, amount] : share.connections) held[branch] += amount;
   return held;
 }
 
--- a/src/control/share_cut.hpp
+++ b/src/control/share_cut.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "control/access_messages.hpp"
-#include "control/control_update.hpp"
+#include "control/control_command.hpp"
+#include "control/report_messages.hpp"
 
 namespace tamarindshift {
 
--- a/src/control/share_duties.cpp
+++ b/src/control/share_duties.cpp
@@ -9,7 +9,7 @@
 namespace tamarindshift {
 
 void Duties::checkShares(const ServiceName& name, const ServiceState& service) {
-  const auto* planned = state_.planned(name);
+  const auto* planned = state_.plannedService(name);
   // a newer configuration may leave less than what the last move of shares was cut from
   if (planned && planSame_) checkSharesWithinBranches(journal_, name, *planned, service);
 }
@@ -18,7 +18,7 @@
   const auto* known = heard(node);
   if (!known) return 0;
   auto own = known->report.services.find(name);
-  return own == known->report.services.end() ? 0 : own->second.followed;
+  return own == known->report.services.end() ? 0 : own->second.appliedPosition;
 }
 
 bool Duties::overdue(const ServiceName& name, const Address& node) const {
@@ -36,11 +36,11 @@
 }
 
 bool Duties::follows(const ServiceName& name, const ServiceState& service, const Address& node) const {
-  if (followed(name, node) >= service.sharesAt) return true;
-  if (!service.holds(node) && newcomersWaitedFor(name)) return true;
+  if (followed(name, node) >= service.sharesPosition) return true;
+  if (!service.hasShares(node) && newcomersWaitedFor(name)) return true;
   if (!silent(node)) return false;
   auto reserved = service.reserved.find(node);
-  if (reserved == service.reserved.end()) return !service.holds(node);
+  if (reserved == service.reserved.end()) return !service.hasShares(node);
   return followed(name, node) >= reserved->second.basis || overdue(name, node);
 }
 
@@ -58,9 +58,9 @@
   Grants reserved;
   for (const auto& [node, share] : service.reserved) {
     auto& [at, since] = seen[node];
-    if (std::exchange(at, share.at) != share.at || !silent(node)) since = clock_.now();
-    bool released = silent(node) ? overdue(name, node) : followed(name, node) >= share.at;
-    if (!released) reserved[node] = share.most;
+    if (std::exchange(at, share.reservedAt) != share.reservedAt || !silent(node)) since = clock_.now();
+    bool released = silent(node) ? overdue(name, node) : followed(name, node) >= share.reservedAt;
+    if (!released) reserved[node] = share.connections;
   }
   for (const auto& [node, branches] : service.grants) {
     auto known = state_.nodes().find(node);
@@ -80,7 +80,7 @@
 }
 
 Duties::SharesInputs Duties::sharesInputs(const ServiceName& name, const ServiceState& service) const {
-  return SharesInputs{access_.sharesInputs(name), livingChanges_, service.sharesAt, state_.plan()->mark};
+  return SharesInputs{access_.shareInputsVersion(name), livingChanges_, service.sharesPosition, state_.plan()->mark};
 }
 
 // few connections of nodes that may come back stay with them until another node is short
@@ -94,7 +94,7 @@
   for (const auto& [node, branches] : service.grants) {
     if (target.contains(node)) continue;
     const auto* known = heard(node);
-    if (branches.empty() || !state_.nodes().contains(node) || !known || clock_.now() - known->heardAt > timings_.nodeGone) return false;
+    if (branches.empty() || !state_.nodes().contains(node) || !known || clock_.now() - known->lastContact > timings_.nodeGone) return false;
     for (const auto& [branch, amount] : branches) away[branch] += amount;
   }
   const auto& branches = state_.plan()->services.at(name).branches;
@@ -125,11 +125,11 @@
     if (!known) co_return;
     auto own = known->report.services.find(name);
     weights[address] = state_.plan()->weightOf(address);
-    wanted[address] = own == known->report.services.end() ? std::map<BranchName, std::uint32_t>{} : own->second.wanted;
+    wanted[address] = own == known->report.services.end() ? std::map<BranchName, std::uint32_t>{} : own->second.connectionDemand;
   }
   auto reserved = reserve(name, service);
   Grants reservedBefore;
-  for (const auto& [node, share] : service.reserved) reservedBefore[node] = share.most;
+  for (const auto& [node, share] : service.reserved) reservedBefore[node] = share.connections;
   auto target = cutShares(without(state_.plan()->services.at(name), reserved), wanted, weights);
   sharesSpent_ += clock_.now() - began;
   if (target == service.grants && reserved == reservedBefore) {
@@ -139,7 +139,7 @@
   auto lower = lowered(service.grants, target);
   for (const auto& [node, share] : service.reserved)
     if (!reserved.contains(node) && target.contains(node) && !lower.contains(node))
-      lower[node] = lowered({{node, share.most}}, target)[node];
+      lower[node] = lowered({{node, share.connections}}, target)[node];
   if (lower != service.grants || reserved != reservedBefore) {
     bool nodesChanged = reserved != reservedBefore || target.size() != service.grants.size();
     bool pressing = nodesChanged && !canWait(name, service, target);
@@ -153,13 +153,13 @@
     bool early = clock_.now() - duty.sharesMovedAt < timings_.sharesPause;
     if (!pressing || (early && !(nodesChanged && everyNodeFollows(name, service)))) co_return;
     duty.sharesMovedAt = clock_.now();
-    SharesUpdate update{name, service.sharesAt, lower, reserved};
-    co_await order(ControlMatter::shares, packed(update));
+    SharesCommand update{name, service.sharesPosition, lower, reserved};
+    co_await order(ControlCommandType::shares, packed(update));
     co_return;
   }
   if (!everyNodeFollows(name, service)) co_return;
-  SharesUpdate update{name, service.sharesAt, target, reserved};
-  co_await order(ControlMatter::shares, packed(update));
+  SharesCommand update{name, service.sharesPosition, target, reserved};
+  co_await order(ControlCommandType::shares, packed(update));
 }
 
 }  // namespace tamarindshift
--- a/src/edge/session_door.cpp
+++ b/src/edge/session_door.cpp
@@ -130,7 +130,7 @@
            {"primary", view.primary.primary.get()},
            {"promoted", view.primary.promoted},
            {"leased", guide.leased(name)}};
-    for (const auto& [branch, most] : view.share.most)
+    for (const auto& [branch, most] : view.share.connections)
       own["branches"][branch.get()] = {
           {"share", most}, {"busy", proxy_.pool().busiest(name, branch)}, {"waiting", proxy_.requests().waitingOn(name, branch)}};
     if (!view.plan) continue;
--- a/src/news/agent_node.cpp
+++ b/src/news/agent_node.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 
 #include "control/heartbeat_json.hpp"
-#include "control/service_news.hpp"
+#include "control/published_entries.hpp"
 #include "edge/door_replies.hpp"
 
 namespace tamarindshift {
@@ -64,7 +64,7 @@
   homesAt_ = mark;
   std::vector<Address> agents;
   for (auto entry = fleet->table.lower_bound(nodePrefix); entry != fleet->table.end() && entry->first.starts_with(nodePrefix); ++entry) {
-    auto news = unpacked<NodeNews>(entry->second);
+    auto news = unpacked<PublishedNode>(entry->second);
     if (news && news->zone == settings_.zone && !news->draining) agents.push_back(Address{entry->first.substr(nodePrefix.size())});
   }
   homes_ = ZoneHomes{std::move(agents)};
--- a/src/news/agent_node.hpp
+++ b/src/news/agent_node.hpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json_fwd.hpp>
 
-#include "control/access_messages.hpp"
+#include "control/report_messages.hpp"
 #include "edge/door.hpp"
 #include "news/agent_settings.hpp"
 #include "news/news_desk.hpp"
--- a/src/news/news_follower.cpp
+++ b/src/news/news_follower.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <iterator>
 
-#include "control/plan_news.hpp"
+#include "control/plan_entries.hpp"
 
 namespace tamarindshift {
 
@@ -54,7 +54,7 @@
   if (!fleet || fleet->planAt == topicsOf_) return;
   topicsOf_ = fleet->planAt;
   std::set<Topic> wanted{fleetTopic};
-  for (const auto& [kind, service] : fleetPlanIn(fleet->table).kinds) wanted.insert(service.get());
+  for (const auto& [kind, service] : readFleetPlan(fleet->table).kinds) wanted.insert(service.get());
   std::erase_if(topics_, [&](const auto& each) {
     return !wanted.contains(each.first);
   });
--- a/src/news/report_book.cpp
+++ b/src/news/report_book.cpp
@@ -4,13 +4,13 @@
 
 bool ReportBook::note(NodeReport report) {
   bool sameBoot = last_.boot == report.boot;
-  if (!report.whole && !sameBoot) return false;
+  if (!report.full && !sameBoot) return false;
   if (!sameBoot) told_.clear();
   auto number = last_.number + 1;
   auto services = std::move(last_.services);
-  if (report.whole && std::erase_if(services, [&](const auto& each) {
-                        return !report.services.contains(each.first);
-                      }) > 0)
+  if (report.full && std::erase_if(services, [&](const auto& each) {
+                       return !report.services.contains(each.first);
+                     }) > 0)
     told_.clear();
   for (auto& [service, own] : report.services) {
     auto [before, fresh] = services.try_emplace(service, own);
@@ -23,9 +23,9 @@
   });
   last_ = std::move(report);
   last_.services = std::move(services);
-  last_.whole = true;
+  last_.full = true;
   last_.number = number;
-  last_.after = 0;
+  last_.baseNumber = 0;
   bytes_.clear();
   return true;
 }
--- a/src/news/report_book.hpp
+++ b/src/news/report_book.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "control/access_messages.hpp"
+#include "control/report_messages.hpp"
 
 namespace tamarindshift {
 
--- a/src/pool/connection_pool.cpp
+++ b/src/pool/connection_pool.cpp
@@ -19,13 +19,13 @@
 
 std::uint32_t ConnectionPool::allowed(const Guide::ServiceView& view) {
   std::uint32_t sum = 0;
-  for (const auto& [branch, most] : view.share.most) sum += most;
+  for (const auto& [branch, most] : view.share.connections) sum += most;
   return sum;
 }
 
 std::uint32_t ConnectionPool::allowed(const Guide::ServiceView& view, const BranchName& branch) {
-  auto found = view.share.most.find(branch);
-  return found == view.share.most.end() ? 0 : found->second;
+  auto found = view.share.connections.find(branch);
+  return found == view.share.connections.end() ? 0 : found->second;
 }
 
 std::uint32_t ConnectionPool::busy(const ServiceName& service, const DatabaseName& database, const BranchName& branch) const {
@@ -154,7 +154,7 @@
   auto most = allowed(view);
   for (auto& [key, shelf] : shelves_) {
     if (key.first != service) continue;
-    const DatabaseNews* planned = nullptr;
+    const PublishedDatabase* planned = nullptr;
     if (!view.drained.contains(key.second))
       if (auto found = view.databases.find(key.second); found != view.databases.end()) planned = &found->second;
     std::erase_if(shelf.idle, [&](const auto& connection) {
--- a/src/pool/database_messages.hpp
+++ b/src/pool/database_messages.hpp
@@ -29,7 +29,7 @@
   /// The newest term that it knows of; a promotion raises it.
   Epoch term{};
   /// Where its log ends.
-  Place place() const { return Place{epoch, position}; }
+  LogPosition place() const { return LogPosition{epoch, position}; }
 };
 
 struct DatabaseReply {
--- a/src/pool/guide.cpp
+++ b/src/pool/guide.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "control/plan_news.hpp"
+#include "control/plan_entries.hpp"
 
 namespace tamarindshift {
 
@@ -18,7 +18,7 @@
     if (!entry) continue;
     readService(service, *entry);
     auto& view = services_[service];
-    view.share = enrolled(service) ? view.granted : ShareNews{};
+    view.share = enrolled(service) ? view.granted : PublishedShare{};
   }
 }
 
@@ -32,7 +32,7 @@
   if (!nodeKnown_) return "not registered";
   if (node_news_.boot != boot_) return "registered under another boot";
   if (feed_.position(name.get()) < node_news_.enrolledAt) return "news of the service are older than the registration";
-  bool granted = std::any_of(view->granted.most.begin(), view->granted.most.end(), [](const auto& each) {
+  bool granted = std::any_of(view->granted.connections.begin(), view->granted.connections.end(), [](const auto& each) {
     return each.second > 0;
   });
   if (granted) return std::nullopt;
@@ -43,12 +43,12 @@
   const auto* entry = feed_.board().find(fleetTopic);
   if (!entry || entry->mark == fleetMark_) return;
   fleetMark_ = entry->mark;
-  if (entry->planAt != fleetPlanAt_) fleetPlan_ = fleetPlanIn(entry->table);
+  if (entry->planAt != fleetPlanAt_) fleetPlan_ = readFleetPlan(entry->table);
   fleetPlanAt_ = entry->planAt;
   auto own = entry->table.find(nodePrefix + node_.get());
   nodeKnown_ = own != entry->table.end();
   if (nodeKnown_)
-    if (auto news = unpacked<NodeNews>(own->second)) node_news_ = *news;
+    if (auto news = unpacked<PublishedNode>(own->second)) node_news_ = *news;
 }
 
 void Guide::readService(const ServiceName& name, const NewsBoard::Entry& entry) {
@@ -63,13 +63,13 @@
   static const std::string drainedPrefix = "drained/";
   static const std::string databasePrefix = "database/";
   static const std::string rationPrefix = "ration/";
-  view.plan = samePlan ? std::move(planBefore) : servicePlanIn(entry.table);
+  view.plan = samePlan ? std::move(planBefore) : readServicePlan(entry.table);
   for (const auto& [key, value] : entry.table) {
     if (key.starts_with(planPrefix)) continue;
     if (key == "primary")
-      view.primary = unpacked<PrimaryNews>(value).value_or(PrimaryNews{});
+      view.primary = unpacked<PublishedPrimary>(value).value_or(PublishedPrimary{});
     else if (key.starts_with(databasePrefix))
-      view.databases[DatabaseName{key.substr(databasePrefix.size())}] = unpacked<DatabaseNews>(value).value_or(DatabaseNews{});
+      view.databases[DatabaseName{key.substr(databasePrefix.size())}] = unpacked<PublishedDatabase>(value).value_or(PublishedDatabase{});
     else if (key.starts_with(rationPrefix))
       view.rations[DatabaseName{key.substr(rationPrefix.size())}] = unpacked<Ration>(value).value_or(Ration{});
     else if (key.starts_with(drainedPrefix)) {
@@ -77,11 +77,11 @@
       auto before = drainedBefore.find(database);
       view.drained[database] = before == drainedBefore.end() ? clock_.now() : before->second;
     } else if (key == sharePrefix + node_.get())
-      view.granted = unpacked<ShareNews>(value).value_or(ShareNews{});
+      view.granted = unpacked<PublishedShare>(value).value_or(PublishedShare{});
   }
   if (view.plan && !view.plan->service.discovered)
     for (const auto& [database, planned] : view.plan->service.databases)
-      view.databases[database] = DatabaseNews{planned.address, {}, planned.cap};
+      view.databases[database] = PublishedDatabase{planned.address, {}, planned.cap};
 }
 
 bool Guide::KindView::selects(const DatabaseName& database) const {
@@ -116,7 +116,7 @@
 }
 
 bool Guide::routesKnown() const {
-  if (!anyLease() || fleetPlan_.mark == PlanMark{}) return false;
+  if (!anyLease() || fleetPlan_.mark == PlanVersion{}) return false;
   return std::all_of(fleetPlan_.kinds.begin(), fleetPlan_.kinds.end(), [this](const auto& each) {
     const auto* own = service(each.second);
     return own && own->plan && own->plan->mark >= fleetPlan_.mark && own->plan->kinds.contains(each.first) && leased(each.second);
@@ -124,7 +124,7 @@
 }
 
 bool Guide::servicesKnown() const {
-  if (!anyLease() || fleetPlan_.mark == PlanMark{}) return false;
+  if (!anyLease() || fleetPlan_.mark == PlanVersion{}) return false;
   return std::all_of(fleetPlan_.kinds.begin(), fleetPlan_.kinds.end(), [this](const auto& each) {
     const auto* own = service(each.second);
     return own && own->plan && leased(each.second);
--- a/src/pool/guide.hpp
+++ b/src/pool/guide.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "control/published_entries.hpp"
 #include "control/ration.hpp"
-#include "control/service_news.hpp"
 #include "news/news_feed.hpp"
 
 namespace tamarindshift {
@@ -12,13 +12,13 @@
     std::uint64_t mark = 0;
     // the mark of the news that the plan was read from
     std::uint64_t planAt = 0;
-    std::optional<ServiceNews> plan;
-    PrimaryNews primary;
-    std::map<DatabaseName, DatabaseNews> databases;
+    std::optional<PublishedServicePlan> plan;
+    PublishedPrimary primary;
+    std::map<DatabaseName, PublishedDatabase> databases;
     std::map<DatabaseName, Instant> drained;
     std::map<DatabaseName, Ration> rations;
-    ShareNews granted;
-    ShareNews share;
+    PublishedShare granted;
+    PublishedShare share;
   };
   struct KindView {
     const PlanKind* kind = nullptr;
@@ -37,7 +37,7 @@
   bool leased(const ServiceName& name) const;
   std::optional<Instant> leaseUntil(const ServiceName& name) const;
   std::vector<DatabaseSign> signs(const ServiceName& name) const;
-  PlanMark planMark() const { return fleetPlan_.mark; }
+  PlanVersion planMark() const { return fleetPlan_.mark; }
   const std::map<std::string, std::uint64_t>& limits() const { return fleetPlan_.limits; }
   bool draining() const;
   // whether every route of the newest plan that is known here is known here too, under a lease
@@ -60,8 +60,8 @@
   std::uint64_t boot_;
   std::uint64_t fleetMark_ = 0;
   std::uint64_t fleetPlanAt_ = 0;
-  FleetPlanNews fleetPlan_;
-  NodeNews node_news_;
+  PublishedFleetPlan fleetPlan_;
+  PublishedNode node_news_;
   bool nodeKnown_ = false;
   std::map<ServiceName, ServiceView> services_;
 };
--- a/src/pool/json_database_control.cpp
+++ b/src/pool/json_database_control.cpp
@@ -33,7 +33,7 @@
   if (!connection || !holder.mayAct()) co_return PromotionOutcome::unanswered;
   auto outcome = co_await connection->exchange("POST", "/promote", body.dump(), deadline);
   bool led = outcome.fate == PassFate::replied && outcome.status == 200;
-  co_return led ? PromotionOutcome::led : PromotionOutcome::unanswered;
+  co_return led ? PromotionOutcome::promoted : PromotionOutcome::unanswered;
 }
 
 }  // namespace tamarindshift
--- a/src/pool/proxy_node.cpp
+++ b/src/pool/proxy_node.cpp
@@ -69,10 +69,10 @@
   for (const auto& [name, view] : guide_.services()) {
     if (!view.plan) continue;
     auto& own = report.services[name];
-    own.followed = followed_[name];
+    own.appliedPosition = followed_[name];
     own.epoch = view.primary.epoch;
     own.acknowledged = acknowledged_[name];
-    own.working = now - workedAt_[name] < settings_.timings.suspicionKept;
+    own.hasRecentWork = now - workedAt_[name] < settings_.timings.suspicionKept;
     for (const auto& [database, unreached] : unreached_[name])
       if (unreached.attempts > 1 && now - unreached.at < settings_.timings.suspicionKept) own.suspects.insert(database);
     if (auto until = guide_.leaseUntil(name)) report.lease = std::max(report.lease, *until - now);
@@ -81,7 +81,7 @@
       auto wants = static_cast<double>(held + requests_.waitingOn(name, branch));
       auto& demand = demand_[{name, branch}];
       demand = std::max(wants, demand * 0.974);
-      own.wanted[branch] = draining() ? 0 : static_cast<std::uint32_t>(demand + 1.5);
+      own.connectionDemand[branch] = draining() ? 0 : static_cast<std::uint32_t>(demand + 1.5);
     }
   }
   return report;
@@ -94,15 +94,15 @@
     const auto& [name, own] = each;
     auto before = reported_.services.find(name);
     if (before == reported_.services.end()) return true;
-    const auto& share = guide_.service(name)->share.most;
-    bool shorter = std::any_of(own.wanted.begin(), own.wanted.end(), [&](const auto& want) {
+    const auto& share = guide_.service(name)->share.connections;
+    bool shorter = std::any_of(own.connectionDemand.begin(), own.connectionDemand.end(), [&](const auto& want) {
       auto granted = share.find(want.first);
-      auto told = before->second.wanted.find(want.first);
+      auto told = before->second.connectionDemand.find(want.first);
       return granted != share.end() && want.second > granted->second &&
-             (told == before->second.wanted.end() || told->second <= granted->second);
+             (told == before->second.connectionDemand.end() || told->second <= granted->second);
     });
-    return shorter || own.followed != before->second.followed || own.epoch != before->second.epoch ||
-           own.working != before->second.working || own.suspects != before->second.suspects;
+    return shorter || own.appliedPosition != before->second.appliedPosition || own.epoch != before->second.epoch ||
+           own.hasRecentWork != before->second.hasRecentWork || own.suspects != before->second.suspects;
   });
 }
 
@@ -257,9 +257,9 @@
 std::optional<std::string> ProxyNode::notReady() const {
   if (draining()) return "this node is leaving";
   if (!guide_.anyLease()) return "no current lease";
-  if (guide_.planMark() == PlanMark{}) return "no plan";
+  if (guide_.planMark() == PlanVersion{}) return "no plan";
   for (const auto& [name, view] : guide_.services())
-    if (!guide_.leased(name) || view.share.most.empty()) return "no share of service " + name.get() + " yet";
+    if (!guide_.leased(name) || view.share.connections.empty()) return "no share of service " + name.get() + " yet";
   if (guide_.services().empty()) return "no news of any service";
   return std::nullopt;
 }
--- a/src/pool/proxy_node.hpp
+++ b/src/pool/proxy_node.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/queue.hpp"
-#include "control/access_messages.hpp"
+#include "control/report_messages.hpp"
 #include "news/news_follower.hpp"
 #include "pool/connection_pool.hpp"
 #include "pool/proxy_settings.hpp"
@@ -85,9 +85,9 @@
   RequestTable requests_;
   std::map<SessionId, std::shared_ptr<Session>> sessions_;
   std::map<ServiceName, std::uint64_t> followed_;
-  std::map<ServiceName, PlanMark> withinPlan_;
+  std::map<ServiceName, PlanVersion> withinPlan_;
   std::map<ServiceName, Instant> surplusSince_;
-  std::map<ServiceName, Place> acknowledged_;
+  std::map<ServiceName, LogPosition> acknowledged_;
   std::map<std::pair<ServiceName, BranchName>, double> demand_;
   std::map<ServiceName, double> meanTaken_;
   struct Unreached {
--- a/src/pool/proxy_placing.cpp
+++ b/src/pool/proxy_placing.cpp
@@ -30,8 +30,8 @@
   if (session->pinned) return requests_.enrol(record);
   auto waiting = requests_.waitingOn(record->service, record->branch);
   if (waiting >= settings_.queue) return refuse(record, "queue is full");
-  auto granted = view.service->share.most.find(record->branch);
-  auto slots = granted == view.service->share.most.end() ? 0 : granted->second;
+  auto granted = view.service->share.connections.find(record->branch);
+  auto slots = granted == view.service->share.connections.end() ? 0 : granted->second;
   auto expected = meanTaken_[record->service] * static_cast<double>(waiting) / std::max(1u, slots);
   if (expected > static_cast<double>(settings_.timings.queuePatience.count())) return refuse(record, "queue is past hope");
   requests_.enrol(record);
@@ -73,8 +73,8 @@
   auto operation = record->request.operation;
   bool pins = operation == Operation::prepare || operation == Operation::set;
   if (pins) {
-    auto granted = view.service->share.most.find(record->branch);
-    auto most = granted == view.service->share.most.end() ? 0 : std::max(1u, granted->second / 2);
+    auto granted = view.service->share.connections.find(record->branch);
+    auto most = granted == view.service->share.connections.end() ? 0 : std::max(1u, granted->second / 2);
     if (this->pins(record->service, record->branch) >= most) return refuse(record, "too many sessions hold connections");
   }
   std::string refusal;
--- a/src/pool/proxy_settling.cpp
+++ b/src/pool/proxy_settling.cpp
@@ -169,7 +169,7 @@
     auto& own = session->own[record->service];
     own = std::max(own, reply.keptAt);
     auto& acknowledged = acknowledged_[record->service];
-    acknowledged = std::max(acknowledged, Place{reply.standing.epoch, reply.keptAt});
+    acknowledged = std::max(acknowledged, LogPosition{reply.standing.epoch, reply.keptAt});
   }
   if (operation == Operation::begin && reply.done) session->inTransaction = true;
   if (operation == Operation::commit || operation == Operation::rollback) session->inTransaction = false;
--- a/src/pooler/back_end.hpp
+++ b/src/pooler/back_end.hpp
@@ -23,7 +23,7 @@
   std::vector<std::string> rows;
   std::string stamp;
   TransactionState state = TransactionState::idle;
-  std::optional<Place> place;
+  std::optional<LogPosition> place;
 };
 
 class BackEndConnection {
@@ -31,7 +31,7 @@
   virtual ~BackEndConnection() = default;
   // a statement without id is one of ours; `after` is the least place the database's log must hold.
   // At the deadline the reply is lost and the connection is no longer usable.
-  virtual Task<BackEndReply> run(Statement statement, std::optional<Place> after, Instant deadline) = 0;
+  virtual Task<BackEndReply> run(Statement statement, std::optional<LogPosition> after, Instant deadline) = 0;
   virtual bool usable() const = 0;
   virtual void close() = 0;
 };
@@ -40,7 +40,7 @@
   std::unique_ptr<BackEndConnection> connection;
   StatementFault fault = StatementFault::none;
   bool answered = false;
-  std::optional<Place> place;
+  std::optional<LogPosition> place;
 };
 
 class BackEnds {
--- a/src/pooler/back_end_pool.hpp
+++ b/src/pooler/back_end_pool.hpp
@@ -27,7 +27,7 @@
     std::optional<Instant> doubtedAt;
     Instant gaveUpAt{};
     Instant behindUntil{};
-    Place place;
+    LogPosition place;
     double meanTaken = 8000;
     double usualTaken = 0;
     double faulty = 0;
--- a/src/pooler/client_session.hpp
+++ b/src/pooler/client_session.hpp
@@ -25,7 +25,7 @@
   std::map<std::string, std::string> values;
   std::map<std::string, PreparedStatement> prepared;
   std::optional<ClientTransaction> transaction;
-  std::map<ServiceName, Place> own;
+  std::map<ServiceName, LogPosition> own;
   bool busy = false;
   Instant usedAt{};
   /// Of the statement under way, or of the last one.
--- a/src/pooler/demand.hpp
+++ b/src/pooler/demand.hpp
@@ -25,7 +25,7 @@
   DemandStage stage = DemandStage::waiting;
   bool rationed = false;
   std::shared_ptr<PooledBackEnd> connection;
-  std::optional<Place> after;
+  std::optional<LogPosition> after;
   StatementFault fault = StatementFault::none;
   std::string reason;
   Gate decided;
--- a/src/pooler/freshness.hpp
+++ b/src/pooler/freshness.hpp
@@ -14,14 +14,14 @@
   static constexpr Duration spacing = 20ms;
   static constexpr Duration kept = 10s;
 
-  void note(Instant askedAt, Place place);
-  std::optional<Place> covering(Instant since) const;
+  void note(Instant askedAt, LogPosition place);
+  std::optional<LogPosition> covering(Instant since) const;
   std::optional<Instant> newest() const;
 
  private:
   struct Sample {
     Instant askedAt;
-    Place place;
+    LogPosition place;
   };
   std::deque<Sample> samples_;
 };
--- a/src/pooler/pooler.cpp
+++ b/src/pooler/pooler.cpp
@@ -162,7 +162,7 @@
   auto watch = watches_.find(name);
   if (watch == watches_.end() || clock_.now() - watch->second.leasedAt > settings_.timings.connectionsKept) return 0;
   std::uint32_t sum = 0;
-  for (const auto& [branch, most] : view.share.most) sum += most;
+  for (const auto& [branch, most] : view.share.connections) sum += most;
   return sum;
 }
 
@@ -194,7 +194,7 @@
 
 Duration Pooler::statementBound(const KindName& kind) const {
   auto found = routeNamed(kind);
-  return found && found->kind->statement ? *found->kind->statement : settings_.timings.queuePatience;
+  return found && found->kind->statementTimeout ? *found->kind->statementTimeout : settings_.timings.queuePatience;
 }
 
 StatementReply Pooler::refused(StatementFault fault, std::string reason, TransactionState state) {
@@ -335,8 +335,8 @@
   if (leased) watch.leasedAt = now;
   if (view.primary.epoch != watch.seen) {
     bool first = watch.seen == Epoch{};
-    watch.finishUntil = view.primary.planned ? now + settings_.plannedFinish : now;
-    if (!first && !view.primary.planned && watch.primary != view.primary.primary) pool_.closeIdle(watch.primary);
+    watch.finishUntil = view.primary.plannedSwitchover ? now + settings_.plannedFinish : now;
+    if (!first && !view.primary.plannedSwitchover && watch.primary != view.primary.primary) pool_.closeIdle(watch.primary);
     watch.seen = view.primary.epoch;
     watch.primary = view.primary.primary;
   }
@@ -347,7 +347,7 @@
         if (connection->target.service == name && connection->asPrimary && connection->epoch < watch.seen) runs = true;
     if (runs && now >= watch.finishUntil)
       for (const auto& [database, news] : view.databases)
-        pool_.cutBusy(database, true, watch.seen, view.primary.planned && now < watch.finishUntil + settings_.plannedFinish);
+        pool_.cutBusy(database, true, watch.seen, view.primary.plannedSwitchover && now < watch.finishUntil + settings_.plannedFinish);
     if (!runs) {
       watch.confirmed = watch.seen;
       sendReport();
@@ -393,28 +393,28 @@
     if (!view.plan) continue;
     auto& watch = watches_[name];
     auto& own = report.services[name];
-    own.followed = watch.followed;
+    own.appliedPosition = watch.followed;
     own.epoch = watch.confirmed;
-    if (view.plan->service.keepsAcknowledged()) own.acknowledged = watch.acknowledged;
+    if (view.plan->service.keepsAcknowledgedWrites()) own.acknowledged = watch.acknowledged;
     own.suspects = watch.suspects;
     own.strained = watch.strained;
     own.demands = watch.demands;
-    own.working = now - watch.workedAt < 1s;
+    own.hasRecentWork = now - watch.workedAt < 1s;
     std::size_t held = 0;
     for (const auto& [database, news] : view.databases)
       if (const auto* shelf = pool_.find(database)) held = std::max(held, shelf->busy.size());
     watch.demand = std::max(static_cast<double>(held), watch.demand * 0.9);
     if (auto until = guide_.leaseUntil(name)) report.lease = std::max(report.lease, *until - now);
     for (const auto& [branch, planned] : view.plan->service.branches)
-      own.wanted[branch] = closing() ? 0 : static_cast<std::uint32_t>(watch.demand + 1.5);
+      own.connectionDemand[branch] = closing() ? 0 : static_cast<std::uint32_t>(watch.demand + 1.5);
   }
   return report;
 }
 
 NodeReport Pooler::whatChanged(NodeReport report) {
   auto now = clock_.now();
-  report.whole = now - toldWholeAt_ > 2 * settings_.timings.report || notReady();
-  if (report.whole) {
+  report.full = now - toldWholeAt_ > 2 * settings_.timings.report || notReady();
+  if (report.full) {
     toldWholeAt_ = now;
     told_ = report.services;
     return report;
@@ -431,13 +431,13 @@
     return now <= 2 * before + demandUnit && before <= 2 * now + demandUnit;
   };
   auto same = [alike](const ServiceReport& left, const ServiceReport& right) {
-    bool wants = std::all_of(right.wanted.begin(), right.wanted.end(), [&](const auto& each) {
-      auto before = left.wanted.find(each.first);
-      return before != left.wanted.end() && each.second <= before->second + 1 && before->second <= each.second + 2;
+    bool wants = std::all_of(right.connectionDemand.begin(), right.connectionDemand.end(), [&](const auto& each) {
+      auto before = left.connectionDemand.find(each.first);
+      return before != left.connectionDemand.end() && each.second <= before->second + 1 && before->second <= each.second + 2;
     });
     return wants && alike(left.demands, right.demands) &&
-           std::tie(left.epoch, left.followed, left.acknowledged, left.suspects, left.strained, left.working) ==
-               std::tie(right.epoch, right.followed, right.acknowledged, right.suspects, right.strained, right.working);
+           std::tie(left.epoch, left.appliedPosition, left.acknowledged, left.suspects, left.strained, left.hasRecentWork) ==
+               std::tie(right.epoch, right.appliedPosition, right.acknowledged, right.suspects, right.strained, right.hasRecentWork);
   };
   std::erase_if(report.services, [&](const auto& each) {
     auto before = told_.find(each.first);
--- a/src/pooler/pooler.hpp
+++ b/src/pooler/pooler.hpp
@@ -3,8 +3,8 @@
 #include <nlohmann/json_fwd.hpp>
 
 #include "base/journal.hpp"
-#include "control/access_messages.hpp"
 #include "control/plan_version_check.hpp"
+#include "control/report_messages.hpp"
 #include "pool/guide.hpp"
 #include "pooler/answer_check.hpp"
 #include "pooler/back_end_pool.hpp"
@@ -68,7 +68,7 @@
   };
   struct Acquired {
     std::shared_ptr<PooledBackEnd> connection;
-    std::optional<Place> after;
+    std::optional<LogPosition> after;
     StatementFault fault = StatementFault::none;
     std::string reason;
   };
@@ -119,7 +119,7 @@
                          std::set<DatabaseName> avoid);
   Task<bool> conform(Session session, Connection connection, const Statement* executes, Instant deadline);
   /// The one way of a statement to a database. `session`: whose statement it is; none for those of the pooler itself.
-  Task<BackEndReply> runOn(ClientSession* session, Connection connection, Statement statement, std::optional<Place> after,
+  Task<BackEndReply> runOn(ClientSession* session, Connection connection, Statement statement, std::optional<LogPosition> after,
                            Instant deadline);
   Task<void> finishRollback(Connection connection);
 
@@ -129,7 +129,7 @@
   bool rationed(const Guide::ServiceView& view, const DatabaseName& database, std::uint32_t order) const;
   bool anyRationed(const Guide::ServiceView& view, const Demand& demand) const;
   void noteDemands();
-  std::vector<DatabaseName> candidates(const Demand& demand, const Route& route, std::optional<Place>& after) const;
+  std::vector<DatabaseName> candidates(const Demand& demand, const Route& route, std::optional<LogPosition>& after) const;
   bool mayPass(const Connection& connection, const KindName& kind, bool inTransaction) const;
   bool mayAcknowledge(const Connection& connection) const;
   bool writes(const ClientSession& session, const Statement& statement) const;
--- a/src/pooler/pooler_checks.cpp
+++ b/src/pooler/pooler_checks.cpp
@@ -74,7 +74,7 @@
   if (!view) return true;
   const auto& primary = view->primary;
   bool current = connection->epoch == primary.epoch && primary.promoted && primary.primary == connection->target.database;
-  bool finishes = primary.planned && Epoch{connection->epoch.get() + 1} == primary.epoch;
+  bool finishes = primary.plannedSwitchover && Epoch{connection->epoch.get() + 1} == primary.epoch;
   return current || finishes;
 }
 
--- a/src/pooler/pooler_serving.cpp
+++ b/src/pooler/pooler_serving.cpp
@@ -30,7 +30,7 @@
     return;
   }
   const auto& view = *found->service;
-  std::optional<Place> after;
+  std::optional<LogPosition> after;
   auto databases = candidates(*demand, *found, after);
   if (databases.empty() && !demand->rationed && anyRationed(view, *demand)) {
     demand->rationed = true;
@@ -106,7 +106,7 @@
   demandsSince_ = now;
 }
 
-std::vector<DatabaseName> Pooler::candidates(const Demand& demand, const Route& route, std::optional<Place>& after) const {
+std::vector<DatabaseName> Pooler::candidates(const Demand& demand, const Route& route, std::optional<LogPosition>& after) const {
   const auto& view = *route.service;
   const auto& primary = view.primary.primary;
   auto usable = [&](const DatabaseName& database) {
@@ -207,7 +207,7 @@
   if (connection->epoch == view->primary.epoch) return true;
   auto watch = watches_.find(service);
   bool finishing = watch != watches_.end() && watch->second.confirmed < view->primary.epoch;
-  return finishing && view->primary.planned && Epoch{connection->epoch.get() + 1} == view->primary.epoch;
+  return finishing && view->primary.plannedSwitchover && Epoch{connection->epoch.get() + 1} == view->primary.epoch;
 }
 
 Duration Pooler::patience(const Connection& connection, const KindName& kind, int attempt) const {
@@ -216,7 +216,8 @@
   if (usual == usualTaken_.end() || !shelf) return statementBound(kind);
   auto expected = 8 * std::max(usual->second, shelf->meanTaken);
   auto least = settings_.leastPatience;
-  if (auto found = routeNamed(kind); found && found->kind->aim) least = std::max<Duration>(least, *found->kind->aim / 2);
+  if (auto found = routeNamed(kind); found && found->kind->targetLatency)
+    least = std::max<Duration>(least, *found->kind->targetLatency / 2);
   return std::max(least, Duration{static_cast<Duration::rep>(expected)}) * (1 << std::min(attempt, 4));
 }
 
@@ -226,7 +227,7 @@
   if (!fresh) usual->second += (micros - usual->second) * 0.05;
 }
 
-Task<BackEndReply> Pooler::runOn(ClientSession* session, Connection connection, Statement statement, std::optional<Place> after,
+Task<BackEndReply> Pooler::runOn(ClientSession* session, Connection connection, Statement statement, std::optional<LogPosition> after,
                                  Instant deadline) {
   auto askedAt = clock_.now();
   checkSending(session, connection, statement);
--- a/src/pooler/service_watch.hpp
+++ b/src/pooler/service_watch.hpp
@@ -21,7 +21,7 @@
   Instant workedAt{};
   double demand = 0;
   std::uint64_t followed = 0;
-  Place acknowledged;
+  LogPosition acknowledged;
 };
 
 }  // namespace tamarindshift
--- a/src/programs/plancheck.cpp
+++ b/src/programs/plancheck.cpp
@@ -32,9 +32,9 @@
   PlanCheck result = checkPlan(plan, now, nlohmann::json::parse(status->body, nullptr, false));
   for (const auto& line : result.changes) std::cout << "changes: " << line << "\n";
   for (const auto& line : result.warnings) std::cout << "warning: " << line << "\n";
-  for (const auto& line : result.misfits) std::cout << "does not fit: " << line << "\n";
-  if (result.misfits.empty()) std::cout << (result.changes.empty() ? "changes nothing\n" : "fits\n");
-  code = result.misfits.empty() ? fits : doesNotFit;
+  for (const auto& line : result.errors) std::cout << "does not fit: " << line << "\n";
+  if (result.errors.empty()) std::cout << (result.changes.empty() ? "changes nothing\n" : "fits\n");
+  code = result.errors.empty() ? fits : doesNotFit;
 }
 
 }  // namespace
--- a/src/programs/replica.cpp
+++ b/src/programs/replica.cpp
@@ -1,5 +1,5 @@
 #include "base/timing_settings.hpp"
-#include "control/operator_door.hpp"
+#include "control/operator_api.hpp"
 #include "pool/json_database_control.hpp"
 #include "real/daemon.hpp"
 #include "real/file_store.hpp"
@@ -35,7 +35,7 @@
   JsonDatabaseControl databases(daemon.web, platform);
   ReplicaNode node(daemon.clock, link, store, databases, daemon.journal, settings, freshIncarnation());
   if (auto fault = node.start()) return complain("replica", *fault);
-  OperatorDoor door(node, daemon.clock);
+  OperatorApi door(node, daemon.clock);
   if (auto fault = link.listen()) return complain("replica", *fault);
   if (auto fault = daemon.serve(http, door)) return complain("replica", *fault);
   return daemon.run(
@@ -45,7 +45,7 @@
       daemon.rereads(program,
                      [&] {
                        databases.change(platform);
-                       node.change(settings);
+                       node.updateSettings(settings);
                      }),
       [&]() -> std::optional<int> {
         if (node.stopped()) return 0;
--- a/src/scale/hollow_host.cpp
+++ b/src/scale/hollow_host.cpp
@@ -55,7 +55,7 @@
     watching_ = std::make_unique<TaskScope>();
     std::fill(reachedAt_.begin(), reachedAt_.end(), std::nullopt);
     if (json.contains("mark")) {
-      PlanMark mark{json["mark"].get<std::uint64_t>()};
+      PlanVersion mark{json["mark"].get<std::uint64_t>()};
       watching_->spawn(watch([mark](const HollowNode& node) {
         return node.follows(mark);
       }));
--- a/src/scale/hollow_node.cpp
+++ b/src/scale/hollow_node.cpp
@@ -34,7 +34,7 @@
   });
 }
 
-bool HollowNode::follows(PlanMark mark) const {
+bool HollowNode::follows(PlanVersion mark) const {
   const auto& guide = proxy_->guide();
   if (guide.planMark() < mark) return false;
   return std::all_of(guide.services().begin(), guide.services().end(), [&](const auto& each) {
--- a/src/scale/hollow_node.hpp
+++ b/src/scale/hollow_node.hpp
@@ -22,7 +22,7 @@
              const HollowNodeSettings& settings, std::uint64_t boot);
 
   bool leased() const;
-  bool follows(PlanMark mark) const;
+  bool follows(PlanVersion mark) const;
   bool servedUnder(const ServiceName& service, Epoch epoch) const;
   const Traffic& traffic() const { return traffic_; }
   const HollowNodeSettings& settings() const { return settings_; }
--- a/src/scale/light_host.cpp
+++ b/src/scale/light_host.cpp
@@ -28,7 +28,7 @@
     if (!json.is_object()) co_return refusal(400, "malformed");
     reachedAt_.reset();
     watching_ = std::make_unique<TaskScope>();
-    PlanMark mark{json.value("mark", std::uint64_t{0})};
+    PlanVersion mark{json.value("mark", std::uint64_t{0})};
     ServiceName service{json.value("service", "")};
     Epoch epoch{json.value("epoch", std::uint64_t{0})};
     bool plan = json.contains("mark");
--- a/src/scale/light_zone.cpp
+++ b/src/scale/light_zone.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "control/heartbeat_json.hpp"
-#include "control/plan_news.hpp"
+#include "control/plan_entries.hpp"
 #include "edge/door_replies.hpp"
 #include "real/program.hpp"
 
@@ -114,12 +114,12 @@
   for (const auto& [topic, followed] : shared_->topics()) {
     if (topic == fleetTopic) continue;
     const auto* entry = shared_->board().find(topic);
-    auto plan = entry ? servicePlanIn(entry->table) : std::nullopt;
+    auto plan = entry ? readServicePlan(entry->table) : std::nullopt;
     if (!plan) continue;
     auto& own = services[ServiceName{topic}];
-    own.followed = shared_->board().mark(topic);
-    own.epoch = news<PrimaryNews>(topic, "primary").value_or(PrimaryNews{}).epoch;
-    for (const auto& [branch, planned] : plan->service.branches) own.wanted[branch] = 1;
+    own.appliedPosition = shared_->board().mark(topic);
+    own.epoch = news<PublishedPrimary>(topic, "primary").value_or(PublishedPrimary{}).epoch;
+    for (const auto& [branch, planned] : plan->service.branches) own.connectionDemand[branch] = 1;
   }
   return services;
 }
@@ -149,7 +149,7 @@
          });
 }
 
-bool LightZone::follows(PlanMark mark) {
+bool LightZone::follows(PlanVersion mark) {
   if (!shared_) return false;
   const auto& topics = shared_->topics();
   return std::all_of(topics.begin(), topics.end(), [&](const auto& each) {
@@ -157,14 +157,14 @@
   });
 }
 
-PlanMark LightZone::planMark(const Topic& topic) const {
+PlanVersion LightZone::planMark(const Topic& topic) const {
   const auto* entry = shared_->board().find(topic);
-  return entry ? planMarkIn(entry->table) : PlanMark{};
+  return entry ? readPlanVersion(entry->table) : PlanVersion{};
 }
 
 bool LightZone::servedUnder(const ServiceName& service, Epoch epoch) {
   if (!shared_) return false;
-  auto primary = news<PrimaryNews>(service.get(), "primary");
+  auto primary = news<PublishedPrimary>(service.get(), "primary");
   return primary && primary->promoted && primary->epoch >= epoch && shared_->leaseUntil(service.get());
 }
 
--- a/src/scale/light_zone.hpp
+++ b/src/scale/light_zone.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "control/access_messages.hpp"
+#include "control/report_messages.hpp"
 #include "edge/door.hpp"
 #include "news/news_desk.hpp"
 #include "news/news_follower.hpp"
@@ -23,7 +23,7 @@
 
   std::size_t size() const { return nodes_.size(); }
   bool leased();
-  bool follows(PlanMark mark);
+  bool follows(PlanVersion mark);
   bool servedUnder(const ServiceName& service, Epoch epoch);
   Traffic traffic() const;
   std::vector<std::pair<Address, DoorKeeper*>> doors();
@@ -54,7 +54,7 @@
   std::map<ServiceName, ServiceReport> services() const;
   template <class News>
   std::optional<News> news(const Topic& topic, const std::string& key) const;
-  PlanMark planMark(const Topic& topic) const;
+  PlanVersion planMark(const Topic& topic) const;
 
   Clock& clock_;
   Journal& journal_;
--- a/src/scale/pieces.cpp
+++ b/src/scale/pieces.cpp
@@ -2,11 +2,11 @@
 
 #include <time.h>
 
-#include "control/access_tables.hpp"
+#include "control/report_tables.hpp"
 #include "control/heartbeat_json.hpp"
 #include "control/control_state.hpp"
 #include "control/plan_reader.hpp"
-#include "control/service_news.hpp"
+#include "control/published_entries.hpp"
 #include "control/share_cut.hpp"
 #include "group/group_messages.hpp"
 #include "scale/scale_plan.hpp"
@@ -61,9 +61,9 @@
  private:
   void note(const std::string& name, double value) { figures_.emplace_back(name, value); }
 
-  std::string apply(ControlMatter matter, std::string body) {
+  std::string apply(ControlCommandType matter, std::string body) {
     Action action;
-    action.update = packed(ControlUpdate{matter, 0, std::move(body)});
+    action.update = packed(ControlCommand{matter, 0, std::move(body)});
     lastActionBytes_ = packed(action).size();
     return state_.applyGreen(action, ++position_);
   }
@@ -76,15 +76,15 @@
          }));
     plan_ = reader.read(planText_);
     note("plan_taken", plan_ ? 1 : 0);
-    PlanUpdate update{planText_};
-    apply(ControlMatter::plan, packed(update));
+    PlanCommand update{planText_};
+    apply(ControlCommandType::plan, packed(update));
     note("plan_action_bytes", static_cast<double>(lastActionBytes_));
   }
 
   void enrolAll() {
     for (std::size_t index = 0; index < shape_.nodes; ++index) {
-      NodeUpdate update{addresses_.agent(index), shape_.zone(index), index + 1};
-      apply(ControlMatter::enrolNode, packed(update));
+      NodeCommand update{addresses_.agent(index), shape_.zone(index), index + 1};
+      apply(ControlCommandType::enrolNode, packed(update));
       weights_[update.node] = 1;
     }
     note("enrol_action_bytes", static_cast<double>(lastActionBytes_));
@@ -104,16 +104,16 @@
       for (const auto& [branch, amount] : branches) without += amount == 0;
     note("node_branches_without_a_connection", static_cast<double>(without));
     for (const auto& [name, planned] : plan_->services) {
-      SharesUpdate update{name, state_.services().at(name).sharesAt, grants, {}};
-      apply(ControlMatter::shares, packed(update));
+      SharesCommand update{name, state_.services().at(name).sharesPosition, grants, {}};
+      apply(ControlCommandType::shares, packed(update));
     }
     note("shares_action_bytes", static_cast<double>(lastActionBytes_));
   }
 
   void publishFigures() {
-    NodeUpdate update{addresses_.agent(0), shape_.zone(0), 1};
+    NodeCommand update{addresses_.agent(0), shape_.zone(0), 1};
     note("action_us", cost([&] {
-           apply(ControlMatter::enrolNode, packed(update));
+           apply(ControlCommandType::enrolNode, packed(update));
          }));
   }
 
@@ -166,7 +166,7 @@
     const auto* fleet = board_.find(fleetTopic);
     note("zone_agents_us", cost([&] {
            for (const auto& [key, value] : fleet->table)
-             if (key.starts_with(nodePrefix)) unpacked<NodeNews>(value);
+             if (key.starts_with(nodePrefix)) unpacked<PublishedNode>(value);
          }));
   }
 
@@ -181,14 +181,14 @@
 
   void changeFigures() {
     note("plan_news_bytes", static_cast<double>(newsBytesAfter([this] {
-           PlanUpdate update{scalePlan(addresses_, 2)};
-           apply(ControlMatter::plan, packed(update));
+           PlanCommand update{scalePlan(addresses_, 2)};
+           apply(ControlCommandType::plan, packed(update));
          })));
     note("shares_news_bytes", static_cast<double>(newsBytesAfter([this] {
            const auto& [name, service] = *state_.services().begin();
-           SharesUpdate update{name, service.sharesAt, service.grants, {}};
+           SharesCommand update{name, service.sharesPosition, service.grants, {}};
            update.grants.erase(addresses_.agent(0));
-           apply(ControlMatter::shares, packed(update));
+           apply(ControlCommandType::shares, packed(update));
          })));
   }
 
@@ -200,21 +200,21 @@
     report.lease = 1500ms;
     for (const auto& [name, planned] : plan_->services) {
       auto& own = report.services[name];
-      own.followed = 100000;
+      own.appliedPosition = 100000;
       own.epoch = Epoch{2};
-      own.acknowledged = Place{Epoch{2}, Position{123456}};
-      for (const auto& [branch, each] : planned.branches) own.wanted[branch] = 1;
+      own.acknowledged = LogPosition{Epoch{2}, Position{123456}};
+      for (const auto& [branch, each] : planned.branches) own.connectionDemand[branch] = 1;
     }
     auto bytes = packed(report);
     note("report_bytes", static_cast<double>(asked("report", bytes).size()));
     auto quiet = report;
     quiet.services.clear();
-    quiet.whole = false;
+    quiet.full = false;
     note("quiet_report_bytes", static_cast<double>(asked("report", packed(quiet)).size()));
-    AccessTables access;
+    ReportTables access;
     auto now = Instant{} + 1h;
     note("report_taken_us", cost([&] {
-           access.noteReport(*unpacked<NodeReport>(bytes), now);
+           access.recordReport(*unpacked<NodeReport>(bytes), now);
          }));
     DatabaseHeartbeat heartbeat{
         ServiceName{"s100"}, DatabaseName{"d1"}, 1ull << 40, 1000, "replica", Epoch{2}, Position{123456}, 100ms, false, {}, {}, 0};
@@ -223,7 +223,7 @@
     for (const auto& settings : addresses_.databases()) {
       heartbeat.service = settings.service;
       heartbeat.database = settings.name;
-      access.noteHeartbeat(heartbeat, now, 1s);
+      access.recordHeartbeat(heartbeat, now, 1s);
     }
     note("signs_us", cost([&] {
            access.signs(ServiceName{"s1"}, now);
--- a/src/scale/simulated_figures.cpp
+++ b/src/scale/simulated_figures.cpp
@@ -108,7 +108,7 @@
       scale->runUntil(
           [&] {
             for (std::size_t index = 0; index < scale->nodes().size(); ++index)
-              if (scale->regionOf(index) == region && !scale->nodes()[index]->follows(PlanMark{2})) return false;
+              if (scale->regionOf(index) == region && !scale->nodes()[index]->follows(PlanVersion{2})) return false;
             return true;
           },
           12s);
--- a/src/scale/simulated_scale.cpp
+++ b/src/scale/simulated_scale.cpp
@@ -33,7 +33,7 @@
     settings.seeds = addresses_.seeds();
     own.node = std::make_unique<ReplicaNode>(clock_, *own.metered, *own.store, databaseControl_, journal_, settings, world_.incarnation());
     if (own.node->start()) continue;
-    own.door = std::make_unique<OperatorDoor>(*own.node, clock_);
+    own.door = std::make_unique<OperatorApi>(*own.node, clock_);
     web_.attach(addresses_.replicaDoor(index), *own.door, clock_);
   }
   for (const auto& settings : addresses_.databases()) {
--- a/src/scale/simulated_scale.hpp
+++ b/src/scale/simulated_scale.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "control/operator_door.hpp"
+#include "control/operator_api.hpp"
 #include "pool/json_database_control.hpp"
 #include "scale/distant_link.hpp"
 #include "scale/hollow_node.hpp"
@@ -49,7 +49,7 @@
     std::unique_ptr<MeteredLink> metered;
     std::unique_ptr<SimulatedStore> store;
     std::unique_ptr<ReplicaNode> node;
-    std::unique_ptr<OperatorDoor> door;
+    std::unique_ptr<OperatorApi> door;
   };
   std::size_t regionOf(const Address& address) const;
   Duration way(const Address& from, const Address& to) const;
--- a/src/simulated/never_list.cpp
+++ b/src/simulated/never_list.cpp
@@ -58,11 +58,11 @@
 
 const std::map<std::string, std::string>* NeverList::bestCopy(const ServiceName& service) const {
   const std::map<std::string, std::string>* best = nullptr;
-  Place most;
+  LogPosition most;
   for (const auto& database : fleet_.databases()) {
     if (database->settings.service != service) continue;
     const auto& disk = database->node ? database->node->disk() : database->disk;
-    Place place{disk.epoch, Position{disk.position}};
+    LogPosition place{disk.epoch, Position{disk.position}};
     if (best && place < most) continue;
     most = place;
     best = database->node ? &database->node->data() : &database->disk.data;
--- a/src/simulated/simulated_fleet.cpp
+++ b/src/simulated/simulated_fleet.cpp
@@ -80,7 +80,7 @@
     slips_.push_back("replica " + std::to_string(index + 1) + " did not start: " + *fault);
     return;
   }
-  own.door = std::make_unique<OperatorDoor>(*own.node, *own.clock);
+  own.door = std::make_unique<OperatorApi>(*own.node, *own.clock);
   web_.attach(at(own.host, 2), *own.door, *own.clock);
 }
 
@@ -112,7 +112,7 @@
   auto& own = *machines_[index];
   if (own.proxy) return;
   killMachine(index);
-  own.lastMark = PlanMark{};
+  own.lastMark = PlanVersion{};
   own.clock = std::make_unique<SimulatedClock>(world_);
   own.journal = std::make_unique<SimulatedJournal>("machine " + std::to_string(index + 1), sink());
   own.agentLink = std::make_unique<SimulatedLink>(network_, *own.clock, at(own.host, 1));
--- a/src/simulated/simulated_fleet.hpp
+++ b/src/simulated/simulated_fleet.hpp
@@ -2,7 +2,7 @@
 
 #include <memory>
 
-#include "control/operator_door.hpp"
+#include "control/operator_api.hpp"
 #include "edge/session_door.hpp"
 #include "news/agent_node.hpp"
 #include "pool/json_database_control.hpp"
@@ -42,7 +42,7 @@
     std::unique_ptr<SimulatedWebLink> web;
     std::unique_ptr<JsonDatabaseControl> databases;
     std::unique_ptr<ReplicaNode> node;
-    std::unique_ptr<OperatorDoor> door;
+    std::unique_ptr<OperatorApi> door;
   };
   struct Machine {
     std::string host;
@@ -56,7 +56,7 @@
     std::unique_ptr<ProxyNode> proxy;
     std::unique_ptr<SessionDoor> door;
     std::size_t unansweredAtStop = 0;
-    PlanMark lastMark;
+    PlanVersion lastMark;
   };
   struct Database {
     std::size_t service = 0;
--- a/src/simulated/standin_database.hpp
+++ b/src/simulated/standin_database.hpp
@@ -6,7 +6,7 @@
 #include "base/journal.hpp"
 #include "base/task_scope.hpp"
 #include "base/timings.hpp"
-#include "control/access_messages.hpp"
+#include "control/report_messages.hpp"
 #include "edge/door.hpp"
 #include "edge/web_link.hpp"
 #include "pool/database_messages.hpp"
--- a/tests/awaited_commits_test.cpp
+++ b/tests/awaited_commits_test.cpp
@@ -11,17 +11,17 @@
 // d1 leads; d2 has received what was acknowledged, d3 lacks some of it; then d1 is lost and its address used elsewhere
 struct LostPrimary : DiscoveredCluster {
   explicit LostPrimary(Position acknowledged = Position{100}) : DiscoveredCluster(1) {
-    own().working = true;
+    own().hasRecentWork = true;
     databases.at("d2").place.position = Position{100};
-    own().acknowledged = Place{Epoch{3}, acknowledged};
+    own().acknowledged = LogPosition{Epoch{3}, acknowledged};
     run(200ms);
   }
 
   void saysLeaving(const std::string& name) {
     databases.at(name).heartbeat.leaving = true;
-    databases.tell(name);
+    databases.sendHeartbeat(name);
     run(500ms);
-    REQUIRE(replica(0).state().drained(ServiceName{"s1"}, DatabaseName{name}));
+    REQUIRE(replica(0).state().drainMark(ServiceName{"s1"}, DatabaseName{name}));
   }
 
   void ends(const std::string& name) {
@@ -48,7 +48,7 @@
     heartbeat.address = Address{address};
     heartbeat.zone = Zone{"z1"};
     heartbeat.capacity = 10;
-    databases.add(heartbeat, Place{Epoch{3}, position});
+    databases.add(heartbeat, LogPosition{Epoch{3}, position});
   }
 
   void detaches(const std::string& name) {
@@ -72,9 +72,9 @@
   LostPrimary cluster;
   if (leavesFirst) cluster.saysLeaving("d2");
   if (!leavesFirst) {
-    cluster.databases.at("d2").dark = true;
+    cluster.databases.at("d2").unreachable = true;
     cluster.losesPrimary();
-    cluster.databases.at("d2").dark = false;
+    cluster.databases.at("d2").unreachable = false;
     cluster.saysLeaving("d2");
   } else {
     cluster.losesPrimary();
@@ -96,13 +96,13 @@
   auto silentFor = GENERATE(3s, 12s, 40s);
   CAPTURE(silentFor.count());
   LostPrimary cluster;
-  cluster.databases.at("d2").dark = true;
+  cluster.databases.at("d2").unreachable = true;
   cluster.own().suspects = {DatabaseName{"d2"}};
   cluster.run(6s);
   cluster.losesPrimary();
   cluster.run(silentFor);
   CHECK(cluster.databases.at("d3").promoteCalls == 0);
-  cluster.databases.at("d2").dark = false;
+  cluster.databases.at("d2").unreachable = false;
   REQUIRE(cluster.runUntil(10s, [&] {
     return cluster.promoted("d2");
   }));
@@ -146,17 +146,17 @@
   auto darkFor = GENERATE(2s, 5s);
   CAPTURE(darkFor.count());
   LostPrimary cluster(Position{95});
-  cluster.databases.at("d2").dark = true;
+  cluster.databases.at("d2").unreachable = true;
   cluster.databases.at("d3").promotion = PromotionOutcome::unanswered;
   cluster.ends("d1");
   cluster.own().suspects = {DatabaseName{"d1"}, DatabaseName{"d2"}};
   REQUIRE(cluster.runUntil(8s, [&] {
     return cluster.service().primary == DatabaseName{"d3"};
   }));
-  cluster.own().acknowledged = Place{Epoch{3}, Position{100}};
+  cluster.own().acknowledged = LogPosition{Epoch{3}, Position{100}};
   cluster.run(darkFor);
   auto callsBefore = cluster.databases.at("d3").promoteCalls;
-  cluster.databases.at("d2").dark = false;
+  cluster.databases.at("d2").unreachable = false;
   cluster.startElsewhere("d8", "10.2.0.1:1", "s2");
   REQUIRE(cluster.runUntil(20s, [&] {
     return cluster.promoted("d2");
--- a/tests/client_test.cpp
+++ b/tests/client_test.cpp
@@ -25,7 +25,7 @@
     CHECK(Json(*read) == Json::parse(reply.body));
     return *read;
   }
-  OperatorDoor& replica(std::size_t index = 0) { return *fleet.replicas()[index]->door; }
+  OperatorApi& replica(std::size_t index = 0) { return *fleet.replicas()[index]->door; }
   DoorKeeper& proxy() { return *fleet.machines()[0]->door; }
   AgentNode& agent() { return *fleet.machines()[0]->agent; }
   client::Plan plan(std::uint64_t mark) {
--- a/tests/control_cluster.cpp
+++ b/tests/control_cluster.cpp
@@ -56,7 +56,7 @@
     if (follows && replica(0).state().services().contains(ServiceName{"s1"})) {
       auto& own = report.services[ServiceName{"s1"}];
       own.epoch = service().epoch;
-      own.followed = replica(0).state().position();
+      own.appliedPosition = replica(0).state().position();
     }
     auto bytes = packed(report);
     for (std::size_t index = 0; index < 3 && reports; ++index) nodeDesk.tell(replicaAddress(index), "report", bytes);
@@ -101,7 +101,7 @@
   heartbeat.address = Address{"10.2.0." + name.substr(1) + ":1"};
   heartbeat.zone = Zone{"z1"};
   heartbeat.capacity = 10;
-  databases.add(heartbeat, Place{Epoch{3}, position});
+  databases.add(heartbeat, LogPosition{Epoch{3}, position});
 }
 
 std::uint64_t ControlCluster::counted(const std::string& name) {
--- a/tests/core_model.hpp
+++ b/tests/core_model.hpp
@@ -24,7 +24,7 @@
     bool syncBeforeReceipt = true;      ///< ReplicationEngine::received
     bool proofBeforeServing = true;     ///< SequencedGroup::provedAt
     bool spareBeforeLeave = true;       ///< MemberReplacement::spare
-    bool digestOfVersion = true;        ///< VersionLedger::judge
+    bool digestOfVersion = true;        ///< PlanVersionHistory::verdict
   };
 
   /// How much may happen on one path.
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "control/service_news.hpp"
+#include "control/published_entries.hpp"
 #include "tests/discovered_cluster.hpp"
 
 using namespace tamarindshift;
@@ -49,7 +49,7 @@
   cluster.databases.at("d3").up = false;
   cluster.start("d9", "replica", Position{0});
   cluster.databases.at("d9").heartbeat.address = address;
-  cluster.databases.tell("d9");
+  cluster.databases.sendHeartbeat("d9");
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.enrolled("d9") && cluster.enrolled("d9")->address == address;
   }));
@@ -66,14 +66,14 @@
   late.role = "primary";
   late.leaving = true;
   CHECK(cluster.ask(cluster.replica(1).heartbeat(late)).status == 200);
-  CHECK(cluster.replica(1).access().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat.role == "replica");
+  CHECK(cluster.replica(1).reports().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat.role == "replica");
   cluster.run(4s);
-  CHECK_FALSE(cluster.replica(1).state().drained(ServiceName{"s1"}, DatabaseName{"d2"}));
+  CHECK_FALSE(cluster.replica(1).state().drainMark(ServiceName{"s1"}, DatabaseName{"d2"}));
   auto again = own.heartbeat;
   again.number = 1;
   again.position = Position{77};
   CHECK(cluster.ask(cluster.replica(1).heartbeat(again)).status == 200);
-  CHECK(cluster.replica(1).access().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat.position == Position{77});
+  CHECK(cluster.replica(1).reports().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat.position == Position{77});
 }
 
 TEST_CASE("a heartbeat that says leaving is answered once the drain is green, a Detach removes the database") {
@@ -82,7 +82,7 @@
   own.heartbeat.leaving = true;
   ++own.heartbeat.number;
   CHECK(cluster.ask(cluster.replica(2).heartbeat(own.heartbeat)).status == 200);
-  CHECK(cluster.replica(2).state().drained(ServiceName{"s1"}, DatabaseName{"d3"}));
+  CHECK(cluster.replica(2).state().drainMark(ServiceName{"s1"}, DatabaseName{"d3"}));
   own.silent = true;
   ++own.heartbeat.number;
   CHECK(cluster.ask(cluster.replica(1).detach(own.heartbeat)).status == 200);
@@ -125,7 +125,7 @@
 TEST_CASE("nodes that do not reach a crashed primary have it replaced at once, and no lease is waited out") {
   Discovered cluster;
   cluster.databases.at("d1").up = false;
-  cluster.own().working = true;
+  cluster.own().hasRecentWork = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
   auto since = cluster.world.now();
   REQUIRE(cluster.runUntil(3s, [&] {
@@ -134,13 +134,13 @@
   CHECK(cluster.world.now() - since < 1200ms);
   CHECK(cluster.databases.at("d1").statusCalls == 1);
   CHECK(cluster.databases.at("d2").promoteCalls == 1);
-  CHECK(cluster.databases.holders().back().fence > 0);
+  CHECK(cluster.databases.holders().back().fencingToken > 0);
   CHECK(cluster.service().epoch == Epoch{2});
 }
 
 TEST_CASE("nodes that do not reach a primary whose STATUS is well have it kept") {
   Discovered cluster;
-  cluster.own().working = true;
+  cluster.own().hasRecentWork = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
   cluster.run(20s);
   CHECK(cluster.promoted("d1"));
@@ -150,7 +150,7 @@
 
 TEST_CASE("a crashed primary that no one works at is replaced after its silence") {
   Discovered cluster;
-  cluster.databases.at("d1").dark = true;
+  cluster.databases.at("d1").unreachable = true;
   CHECK_FALSE(cluster.runUntil(700ms, [&] {
     return !cluster.promoted("d1");
   }));
@@ -163,7 +163,7 @@
   Discovered cluster;
   cluster.follows = false;
   cluster.databases.at("d1").up = false;
-  cluster.own().working = true;
+  cluster.own().hasRecentWork = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.service().epoch == Epoch{2};
@@ -178,7 +178,7 @@
 TEST_CASE("a report of another boot than the enrolled one does not count") {
   Discovered cluster;
   cluster.databases.at("d1").up = false;
-  cluster.own().working = true;
+  cluster.own().hasRecentWork = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.service().epoch == Epoch{2};
@@ -197,11 +197,11 @@
   cluster.follows = false;
   auto& former = cluster.databases.at("d1");
   former.heartbeat.leaving = true;
-  cluster.databases.tell("d1");
+  cluster.databases.sendHeartbeat("d1");
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.service().epoch == Epoch{2};
   }));
-  CHECK(cluster.service().planned);
+  CHECK(cluster.service().plannedSwitchover);
   cluster.run(600ms);
   CHECK(former.demotedWith.empty());
   former.place.position = Position{120};
@@ -225,13 +225,13 @@
   cluster.databases.at("d2").promotion = PromotionOutcome::refused;
   cluster.databases.at("d3").promotion = PromotionOutcome::unanswered;
   cluster.databases.at("d1").up = false;
-  cluster.own().working = true;
+  cluster.own().hasRecentWork = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(8s, [&] {
     return cluster.databases.at("d3").promoteCalls >= 2;
   }));
   CHECK(cluster.databases.at("d2").promoteCalls == 1);
-  cluster.databases.at("d3").promotion = PromotionOutcome::led;
+  cluster.databases.at("d3").promotion = PromotionOutcome::promoted;
   REQUIRE(cluster.runUntil(8s, [&] {
     return cluster.promoted("d3");
   }));
@@ -242,7 +242,7 @@
   Discovered cluster;
   cluster.databases.at("d2").leadsWhenAccepted = false;
   cluster.databases.at("d1").up = false;
-  cluster.own().working = true;
+  cluster.own().hasRecentWork = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(3s, [&] {
     return cluster.databases.at("d2").promoteCalls > 0;
@@ -258,8 +258,8 @@
 
 TEST_CASE("where commits are replicated, the chosen one must hold what was acknowledged") {
   Discovered cluster(1);
-  cluster.own().acknowledged = Place{Epoch{3}, Position{99}};
-  cluster.own().working = true;
+  cluster.own().acknowledged = LogPosition{Epoch{3}, Position{99}};
+  cluster.own().hasRecentWork = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
   cluster.run(200ms);
   cluster.databases.at("d1").up = false;
@@ -275,8 +275,8 @@
 
 TEST_CASE("a round of STATUS serves to choose a database, one to see that it holds what it must, a call to see that it leads") {
   Discovered cluster(1);
-  cluster.own().acknowledged = Place{Epoch{3}, Position{97}};
-  cluster.own().working = true;
+  cluster.own().acknowledged = LogPosition{Epoch{3}, Position{97}};
+  cluster.own().hasRecentWork = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
   cluster.databases.at("d1").up = false;
   REQUIRE(cluster.runUntil(5s, [&] {
@@ -290,36 +290,36 @@
   NewsBoard board;
   ControlState state(board);
   std::uint64_t position = 0;
-  auto apply = [&]<class Body>(ControlMatter matter, const Body& body) {
+  auto apply = [&]<class Body>(ControlCommandType matter, const Body& body) {
     Action action;
-    action.update = packed(ControlUpdate{matter, 0, packed(body)});
+    action.update = packed(ControlCommand{matter, 0, packed(body)});
     return state.applyGreen(action, ++position);
   };
   auto enrol = [&](const char* service, const char* database, const char* address) {
-    return apply(ControlMatter::enrolDatabase,
-                 EnrolmentUpdate{ServiceName{service}, DatabaseName{database}, Address{address}, Zone{"z1"}, 10, 0, 1, "replica"});
+    return apply(ControlCommandType::enrolDatabase,
+                 EnrolmentCommand{ServiceName{service}, DatabaseName{database}, Address{address}, Zone{"z1"}, 10, 0, 1, "replica"});
   };
   CHECK(enrol("s1", "d1", "10.2.0.1:1") == "held");
   CHECK(enrol("s2", "d2", "10.2.0.2:1") == "held");
-  PlanUpdate plan{R"({"mark":1,"services":{"s1":{"discovery":"heartbeats","quota":{"connections":10,"branches":{"b":{"connections":10}}}},
+  PlanCommand plan{R"({"mark":1,"services":{"s1":{"discovery":"heartbeats","quota":{"connections":10,"branches":{"b":{"connections":10}}}},
     "s3":{"databases":{"x":{"address":"10.2.0.9:1","cap":10}},"quota":{"connections":10,"branches":{"b":{"connections":10}}}}},"kinds":{}})"};
-  CHECK(apply(ControlMatter::plan, plan) == "held");
+  CHECK(apply(ControlCommandType::plan, plan) == "held");
   CHECK(enrol("s3", "d5", "10.2.0.5:1") != "held");
   const auto& table = board.find("s1")->table;
   REQUIRE(table.contains("database/d1"));
-  CHECK(unpacked<DatabaseNews>(table.at("database/d1"))->address == Address{"10.2.0.1:1"});
-  CHECK(apply(ControlMatter::drainDatabase, DatabaseUpdate{ServiceName{"s2"}, DatabaseName{"d2"}, 0, 2, false}) == "held");
+  CHECK(unpacked<PublishedDatabase>(table.at("database/d1"))->address == Address{"10.2.0.1:1"});
+  CHECK(apply(ControlCommandType::drainDatabase, DatabaseCommand{ServiceName{"s2"}, DatabaseName{"d2"}, 0, 2, false}) == "held");
   NewsBoard otherBoard;
   ControlState other(otherBoard);
   REQUIRE(other.restore(state.snapshot()));
   CHECK(other.enrolled(ServiceName{"s2"}, DatabaseName{"d2"})->address == Address{"10.2.0.2:1"});
-  CHECK(other.drained(ServiceName{"s2"}, DatabaseName{"d2"}));
+  CHECK(other.drainMark(ServiceName{"s2"}, DatabaseName{"d2"}));
   CHECK(otherBoard.find("s1")->table.contains("database/d1"));
   CHECK(enrol("s1", "d4", "10.2.0.2:1") == "held");
   CHECK_FALSE(state.enrolled(ServiceName{"s2"}, DatabaseName{"d2"}));
-  CHECK_FALSE(state.drained(ServiceName{"s2"}, DatabaseName{"d2"}));
-  CHECK(apply(ControlMatter::recovery, RecoveryUpdate{ServiceName{"s1"}, Epoch{}, DatabaseName{"d4"}, "", false}) == "held");
-  CHECK(apply(ControlMatter::removeDatabase, DatabaseUpdate{ServiceName{"s1"}, DatabaseName{"d4"}, 0, 0, true}) != "held");
-  CHECK(apply(ControlMatter::removeDatabase, DatabaseUpdate{ServiceName{"s1"}, DatabaseName{"d1"}, 0, 0, true}) == "held");
+  CHECK_FALSE(state.drainMark(ServiceName{"s2"}, DatabaseName{"d2"}));
+  CHECK(apply(ControlCommandType::recovery, RecoveryCommand{ServiceName{"s1"}, Epoch{}, DatabaseName{"d4"}, "", false}) == "held");
+  CHECK(apply(ControlCommandType::removeDatabase, DatabaseCommand{ServiceName{"s1"}, DatabaseName{"d4"}, 0, 0, true}) != "held");
+  CHECK(apply(ControlCommandType::removeDatabase, DatabaseCommand{ServiceName{"s1"}, DatabaseName{"d1"}, 0, 0, true}) == "held");
   CHECK_FALSE(board.find("s1")->table.contains("database/d1"));
 }
--- a/tests/duty_proof_test.cpp
+++ b/tests/duty_proof_test.cpp
@@ -13,7 +13,7 @@
 struct LostDuty : DiscoveredCluster {
   // the primary crashes while the platform takes no calls, so that the holder goes on trying
   LostDuty() {
-    own().working = true;
+    own().hasRecentWork = true;
     for (const char* name : {"d2", "d3"}) databases.at(name).promotion = PromotionOutcome::unanswered;
     databases.at("d1").up = false;
     databases.at("d1").silent = true;
@@ -37,7 +37,7 @@
   bool fencesNeverFall() const {
     const auto& calls = databases.holders();
     return std::is_sorted(calls.begin(), calls.end(), [](const auto& one, const auto& next) {
-      return one.fence < next.fence;
+      return one.fencingToken < next.fencingToken;
     });
   }
 
@@ -92,7 +92,7 @@
   LostDuty cluster;
   cluster.ownClocks[0]->freeze();
   cluster.databases.at("d2").heartbeat.leaving = true;
-  cluster.databases.tell("d2");
+  cluster.databases.sendHeartbeat("d2");
   cluster.run(300ms);
   cluster.platformTakesCalls();
   cluster.run(still * 100ms);
--- a/tests/former_primary_test.cpp
+++ b/tests/former_primary_test.cpp
@@ -10,9 +10,9 @@
 
 struct FormerPrimary : DiscoveredCluster {
   explicit FormerPrimary(std::uint32_t syncReplicas = 0) : DiscoveredCluster(syncReplicas) {
-    own().working = true;
+    own().hasRecentWork = true;
     auto& former = databases.at("d1");
-    former.dark = true;
+    former.unreachable = true;
     own().suspects = {DatabaseName{"d1"}};
     REQUIRE(runUntil(5s, [&] {
       return promoted("d2");
@@ -23,9 +23,9 @@
 
   // the former primary is reached again and still says that it leads, the next one crashes
   void comesBack() {
-    databases.at("d1").dark = false;
+    databases.at("d1").unreachable = false;
     own().suspects = {};
-    databases.tell("d1");
+    databases.sendHeartbeat("d1");
     run(20ms);
     for (const char* name : {"d2", "d3"}) {
       databases.at(name).up = false;
@@ -40,7 +40,7 @@
     while (world.now() < deadline && !promoted("d1")) {
       auto& former = databases.at("d1");
       former.heartbeat.role = "primary";
-      databases.tell("d1");
+      databases.sendHeartbeat("d1");
       run(10ms);
     }
     return promoted("d1");
@@ -59,7 +59,7 @@
   CHECK(former.promoteCalls == 1);
   CHECK(former.ledAt > former.promotedAt);
   CHECK(former.term() > cluster.databases.at("d2").term());
-  CHECK(cluster.service().ledTerm == former.term());
+  CHECK(cluster.service().confirmedTerm == former.term());
 }
 
 TEST_CASE("a former primary whose promotion has no effect is never taken for the primary") {
@@ -72,7 +72,7 @@
 
 TEST_CASE("a promotion that took effect before the duties changed hands is confirmed without another call") {
   DiscoveredCluster cluster;
-  cluster.own().working = true;
+  cluster.own().hasRecentWork = true;
   cluster.databases.at("d1").up = false;
   cluster.databases.at("d1").silent = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
--- a/tests/invariant_checks_test.cpp
+++ b/tests/invariant_checks_test.cpp
@@ -63,50 +63,50 @@
   ServiceState service;
   service.grants[Address{"10.1.0.1:1"}][work] = 4;
   service.grants[Address{"10.1.0.2:1"}][work] = 3;
-  service.reserved[Address{"10.1.0.3:1"}].most[work] = 3;
-  service.grants[Address{"10.1.0.2:1"}][BranchName{"removed"}] = 30;
-  checkSharesWithinBranches(trial.journal, name, planned, service);
-  CHECK(trial.violations() == 0);
-  CHECK(trial.checked(Invariant::sharesWithinBranch) == 1);
-  SECTION("granted") {
-    service.grants[Address{"10.1.0.2:1"}][work] = 4;
-  }
-  SECTION("reserved") {
-    service.reserved[Address{"10.1.0.3:1"}].most[work] = 4;
+  service.reserved[Address{"10.1.0.3:1"].connections[work] = 3;
+    service.grants[Address{"10.1.0.2:1"}][BranchName{"removed"}] = 30;
+    checkSharesWithinBranches(trial.journal, name, planned, service);
+    CHECK(trial.violations() == 0);
+    CHECK(trial.checked(Invariant::sharesWithinBranch) == 1);
+    SECTION("granted") {
+      service.grants[Address{"10.1.0.2:1"}][work] = 4;
+    }
+    SECTION("reserved") {
+    service.reserved[Address{"10.1.0.3:1"].connections[work] = 4;
   }
   SECTION("a smaller cap") {
-    planned.branches[work].connections = 9;
+        planned.branches[work].connections = 9;
   }
   checkSharesWithinBranches(trial.journal, name, planned, service);
   CHECK(trial.violations() == 1);
   CHECK(trial.violated(Invariant::sharesWithinBranch) == 1);
-}
+    }
 
-TEST_CASE("invariants: a fence that falls, or a call by a node without duties, is noticed") {
-  CheckTrial trial;
-  DutyEpochCheck fences(trial.journal);
-  fences.note(3, true);
-  fences.note(3, true);
-  fences.note(5, true);
-  CHECK(trial.violations() == 0);
-  fences.note(4, true);
-  CHECK(trial.violations() == 1);
-  fences.note(5, false);
-  CHECK(trial.violations() == 1);
-  fences.note(5, true);
-  CHECK(trial.violations() == 0);
-  CHECK(trial.violated(Invariant::dutyEpochNeverFalls) == 2);
-}
+    TEST_CASE("invariants: a fence that falls, or a call by a node without duties, is noticed") {
+      CheckTrial trial;
+      DutyEpochCheck fences(trial.journal);
+      fences.note(3, true);
+      fences.note(3, true);
+      fences.note(5, true);
+      CHECK(trial.violations() == 0);
+      fences.note(4, true);
+      CHECK(trial.violations() == 1);
+      fences.note(5, false);
+      CHECK(trial.violations() == 1);
+      fences.note(5, true);
+      CHECK(trial.violations() == 0);
+      CHECK(trial.violated(Invariant::dutyEpochNeverFalls) == 2);
+    }
 
-TEST_CASE("invariants: a version that goes back is noticed once for each time") {
-  CheckTrial trial;
-  PlanVersionCheck versions(trial.journal);
-  CHECK_FALSE(versions.note(PlanMark{4}));
-  CHECK(versions.note(PlanMark{4}));
-  CHECK_FALSE(versions.note(PlanMark{9}));
-  CHECK(trial.violations() == 0);
-  versions.note(PlanMark{8});
-  CHECK(trial.violations() == 1);
-  versions.note(PlanMark{8});
-  CHECK(trial.violations() == 0);
-}
+    TEST_CASE("invariants: a version that goes back is noticed once for each time") {
+      CheckTrial trial;
+      PlanVersionCheck versions(trial.journal);
+      CHECK_FALSE(versions.note(PlanVersion{4}));
+      CHECK(versions.note(PlanVersion{4}));
+      CHECK_FALSE(versions.note(PlanVersion{9}));
+      CHECK(trial.violations() == 0);
+      versions.note(PlanVersion{8});
+      CHECK(trial.violations() == 1);
+      versions.note(PlanVersion{8});
+      CHECK(trial.violations() == 0);
+    }
--- a/tests/invariant_test.cpp
+++ b/tests/invariant_test.cpp
@@ -97,8 +97,8 @@
   trial.publishFleet();
   trial.run(200ms);
   REQUIRE(SimulatedJournal::takeViolations().empty());
-  FleetPlanNews older;
-  older.mark = PlanMark{1};
+  PublishedFleetPlan older;
+  older.mark = PlanVersion{1};
   for (const auto& [name, kind] : trial.kinds) older.kinds[name] = kind.service;
   trial.news.putPlan(fleetTopic, older);
   trial.run(200ms);
--- a/tests/large_changes_test.cpp
+++ b/tests/large_changes_test.cpp
@@ -36,7 +36,7 @@
 
   bool level(std::size_t member) {
     const auto& plan = replica(member).state().plan();
-    return plan && plan->mark == PlanMark{mark} && replica(member).engine().state() == EngineState::regPrim;
+    return plan && plan->mark == PlanVersion{mark} && replica(member).engine().state() == EngineState::regPrim;
   }
 
   std::uint64_t mark = 0;
--- a/tests/news_desk_test.cpp
+++ b/tests/news_desk_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "control/plan_news.hpp"
+#include "control/plan_entries.hpp"
 #include "news/news_desk.hpp"
 #include "news/news_follower.hpp"
 #include "scale/metered_link.hpp"
@@ -16,12 +16,12 @@
 const Address sourceAt{"10.0.0.1:1"};
 
 NewsTable planNews() {
-  FleetPlanNews news;
-  news.mark = PlanMark{1};
+  PublishedFleetPlan news;
+  news.mark = PlanVersion{1};
   for (std::size_t number = 1; number <= services; ++number)
     news.kinds[KindName{"k" + std::to_string(number)}] = ServiceName{"s" + std::to_string(number)};
   NewsTable table;
-  layPlan(table, news);
+  writePlanEntries(table, news);
   return table;
 }
 
--- a/tests/news_restored_test.cpp
+++ b/tests/news_restored_test.cpp
@@ -10,24 +10,24 @@
 
 struct Replica {
   Replica() : state(board) {}
-  void take(ControlMatter matter, std::string body) {
+  void take(ControlCommandType matter, std::string body) {
     Action action;
-    action.update = packed(ControlUpdate{matter, 0, std::move(body)});
+    action.update = packed(ControlCommand{matter, 0, std::move(body)});
     CHECK(state.applyGreen(action, ++position) == "held");
   }
-  void offer(ControlMatter matter, std::string body) {
+  void offer(ControlCommandType matter, std::string body) {
     Action action;
-    action.update = packed(ControlUpdate{matter, 0, std::move(body)});
+    action.update = packed(ControlCommand{matter, 0, std::move(body)});
     state.applyGreen(action, ++position);
   }
   void enrol(const std::string& node, std::uint64_t boot) {
-    take(ControlMatter::enrolNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
+    take(ControlCommandType::enrolNode, packed(NodeCommand{Address{node}, Zone{"z1"}, boot}));
   }
   void remove(const std::string& node, std::uint64_t boot) {
-    take(ControlMatter::removeNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
+    take(ControlCommandType::removeNode, packed(NodeCommand{Address{node}, Zone{"z1"}, boot}));
   }
   void drainOf(const std::string& node, std::uint64_t boot) {
-    take(ControlMatter::drainNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
+    take(ControlCommandType::drainNode, packed(NodeCommand{Address{node}, Zone{"z1"}, boot}));
   }
   NewsBoard board;
   ControlState state;
@@ -49,7 +49,7 @@
 
 TEST_CASE("a replica restored from a snapshot has each topic's mark as the others have") {
   Replica ordered;
-  ordered.take(ControlMatter::plan, packed(PlanUpdate{plan}));
+  ordered.take(ControlCommandType::plan, packed(PlanCommand{plan}));
   ordered.enrol("10.0.0.1:1", 1);
   ordered.enrol("10.0.0.2:1", 2);
   Replica restored;
@@ -65,7 +65,7 @@
 
 TEST_CASE("a follower that is older than a restored replica loses what was removed before") {
   Replica ordered;
-  ordered.take(ControlMatter::plan, packed(PlanUpdate{plan}));
+  ordered.take(ControlCommandType::plan, packed(PlanCommand{plan}));
   ordered.enrol("10.0.0.1:1", 1);
   ordered.enrol("10.0.0.2:1", 2);
   NewsBoard follower;
@@ -82,7 +82,7 @@
 
 TEST_CASE("a replica that is brought up by a snapshot while it runs forgets what was removed") {
   Replica ordered;
-  ordered.take(ControlMatter::plan, packed(PlanUpdate{plan}));
+  ordered.take(ControlCommandType::plan, packed(PlanCommand{plan}));
   ordered.enrol("10.0.0.1:1", 1);
   Replica late;
   REQUIRE(late.state.restore(ordered.state.snapshot()));
@@ -119,39 +119,40 @@
       Address node{"10.0.0." + std::to_string(1 + below(3)) + ":1"};
       auto held = replica.state.services().find(service);
       auto epoch = held == replica.state.services().end() ? Epoch{} : held->second.epoch;
-      auto basis = held == replica.state.services().end() ? 0 : held->second.sharesAt;
+      auto basis = held == replica.state.services().end() ? 0 : held->second.sharesPosition;
       auto before = replica.board.mark(service.get());
       auto other = replica.board.mark(service == ServiceName{"s1"} ? "s2" : "s1");
       switch (below(9)) {
         case 0:
-          replica.offer(ControlMatter::plan, packed(PlanUpdate{planOf(++mark, 1 + static_cast<int>(below(3)))}));
+          replica.offer(ControlCommandType::plan, packed(PlanCommand{planOf(++mark, 1 + static_cast<int>(below(3)))}));
           break;
         case 1:
-          replica.offer(ControlMatter::enrolNode, packed(NodeUpdate{node, Zone{"z1"}, below(3)}));
+          replica.offer(ControlCommandType::enrolNode, packed(NodeCommand{node, Zone{"z1"}, below(3)}));
           break;
         case 2:
-          replica.offer(below(2) ? ControlMatter::drainNode : ControlMatter::removeNode, packed(NodeUpdate{node, Zone{"z1"}, below(3)}));
+          replica.offer(below(2) ? ControlCommandType::drainNode : ControlCommandType::removeNode,
+                        packed(NodeCommand{node, Zone{"z1"}, below(3)}));
           break;
         case 3:
-          replica.offer(ControlMatter::enrolDatabase,
-                        packed(EnrolmentUpdate{service, database, Address{"10.2.0." + std::to_string(below(4)) + ":1"}, Zone{"z1"}, 5, 1, 1,
-                                               "replica"}));
+          replica.offer(ControlCommandType::enrolDatabase,
+                        packed(EnrolmentCommand{service, database, Address{"10.2.0." + std::to_string(below(4)) + ":1"}, Zone{"z1"}, 5, 1,
+                                                1, "replica"}));
           break;
         case 4:
-          replica.offer(ControlMatter::removeDatabase, packed(DatabaseUpdate{service, database, 1, 1, true}));
+          replica.offer(ControlCommandType::removeDatabase, packed(DatabaseCommand{service, database, 1, 1, true}));
           break;
         case 5:
-          replica.offer(below(2) ? ControlMatter::drainDatabase : ControlMatter::returnDatabase,
-                        packed(DatabaseUpdate{service, database, 1, 1, below(2) == 0}));
+          replica.offer(below(2) ? ControlCommandType::drainDatabase : ControlCommandType::returnDatabase,
+                        packed(DatabaseCommand{service, database, 1, 1, below(2) == 0}));
           break;
         case 6:
-          replica.offer(ControlMatter::recovery, packed(RecoveryUpdate{service, epoch, database, "lost", false}));
+          replica.offer(ControlCommandType::recovery, packed(RecoveryCommand{service, epoch, database, "lost", false}));
           break;
         case 7:
-          replica.offer(ControlMatter::promoted, packed(PromotedUpdate{service, epoch}));
+          replica.offer(ControlCommandType::promoted, packed(PromotedCommand{service, epoch}));
           break;
         case 8: {
-          replica.offer(ControlMatter::shares, packed(SharesUpdate{service, basis, {{node, {{BranchName{"work"}, below(11)}}}}, {}}));
+          replica.offer(ControlCommandType::shares, packed(SharesCommand{service, basis, {{node, {{BranchName{"work"}, below(11)}}}}, {}}));
           CHECK(replica.board.mark(service == ServiceName{"s1"} ? "s2" : "s1") == other);
           CHECK(replica.board.mark(service.get()) >= before);
           break;
--- a/tests/news_test.cpp
+++ b/tests/news_test.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
 #include "control/control_state.hpp"
-#include "control/plan_news.hpp"
+#include "control/plan_entries.hpp"
 #include "news/news_desk.hpp"
 #include "news/news_follower.hpp"
 #include "pool/guide.hpp"
@@ -34,11 +34,11 @@
 };
 
 NewsTable planOf(const std::set<std::string>& services) {
-  FleetPlanNews news;
-  news.mark = PlanMark{1};
+  PublishedFleetPlan news;
+  news.mark = PlanVersion{1};
   for (const auto& service : services) news.kinds[KindName{"k" + service}] = ServiceName{service};
   NewsTable table;
-  layPlan(table, news);
+  writePlanEntries(table, news);
   return table;
 }
 
@@ -177,20 +177,21 @@
   Guide guide(clock, feed, Address{"10.1.0.1:1"}, 8);
   auto fleet = [&](std::uint64_t mark, std::uint64_t boot, std::uint64_t enrolledAt) {
     auto table = planOf({"s1"});
-    table["node/10.1.0.1:1"] = packed(NodeNews{Zone{"z1"}, false, {}, boot, enrolledAt});
+    table["node/10.1.0.1:1"] = packed(PublishedNode{Zone{"z1"}, false, {}, boot, enrolledAt});
     feed.own.publish(fleetTopic, mark, std::move(table));
     guide.refresh();
   };
-  ShareNews share{{{BranchName{"b"}, 4}}};
+  PublishedShare share{{{BranchName{"b"}, 4}}};
   feed.own.publish(
-      "s1", 2, NewsTable{{"share/10.1.0.1:1", packed(share)}, {"database/d1", packed(DatabaseNews{Address{"10.2.0.1:1"}, Zone{"z1"}, 5})}});
+      "s1", 2,
+      NewsTable{{"share/10.1.0.1:1", packed(share)}, {"database/d1", packed(PublishedDatabase{Address{"10.2.0.1:1"}, Zone{"z1"}, 5})}});
   feed.at = 3;
   fleet(3, 7, 1);
-  CHECK(guide.service(ServiceName{"s1"})->share.most.empty());
+  CHECK(guide.service(ServiceName{"s1"})->share.connections.empty());
   CHECK(guide.service(ServiceName{"s1"})->databases.at(DatabaseName{"d1"}).capacity == 5);
   fleet(4, 8, 4);
-  CHECK(guide.service(ServiceName{"s1"})->share.most.empty());
+  CHECK(guide.service(ServiceName{"s1"})->share.connections.empty());
   feed.at = 4;
   guide.refresh();
-  CHECK(guide.service(ServiceName{"s1"})->share.most.at(BranchName{"b"}) == 4);
+  CHECK(guide.service(ServiceName{"s1"})->share.connections.at(BranchName{"b"}) == 4);
 }
--- a/tests/news_whole_test.cpp
+++ b/tests/news_whole_test.cpp
@@ -2,7 +2,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "control/plan_news.hpp"
+#include "control/plan_entries.hpp"
 #include "news/news_desk.hpp"
 #include "news/news_follower.hpp"
 #include "simulated/simulated_clock.hpp"
@@ -15,8 +15,8 @@
 namespace {
 
 NewsTable routes(std::uint64_t mark, std::size_t amount) {
-  ServiceNews news;
-  news.mark = PlanMark{mark};
+  PublishedServicePlan news;
+  news.mark = PlanVersion{mark};
   for (std::size_t number = 1; number <= amount; ++number) {
     PlanKind kind;
     kind.service = ServiceName{"s1"};
@@ -25,7 +25,7 @@
     news.kinds[KindName{"r-" + std::to_string(number * 104729)}] = kind;
   }
   NewsTable table;
-  layPlan(table, news);
+  writePlanEntries(table, news);
   return table;
 }
 
--- a/tests/operator_door_test.cpp
+++ b/tests/operator_api_test.cpp
@@ -71,11 +71,11 @@
   CHECK(core.counted(0, "heartbeats.unplanned") == unplanned + 4);
   CHECK(core.counted(0, "heartbeats.malformed") == 18);
   CHECK(core.fleet.replicas()[0]->node->engine().greenLine() == green);
-  auto held = core.fleet.replicas()[0]->node->access().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat;
+  auto held = core.fleet.replicas()[0]->node->reports().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat;
   CHECK(core.ask(0, "POST", "/heartbeat", core.heartbeat({{"boot", held.boot - 1}, {"number", 1000}, {"position", 999}})).status == 200);
   CHECK(core.ask(0, "POST", "/heartbeat", core.heartbeat({{"boot", held.boot}, {"number", held.number}, {"position", 999}})).status == 200);
   CHECK(core.counted(0, "heartbeats.older") >= 2);
-  CHECK(core.fleet.replicas()[0]->node->access().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat.position < Position{999});
+  CHECK(core.fleet.replicas()[0]->node->reports().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat.position < Position{999});
   CHECK(core.ask(0, "POST", "/heartbeat",
                  core.heartbeat({{"boot", ~0ull}, {"number", ~0ull}, {"epoch", ~0ull}, {"position", ~0ull}, {"contact_age_ms", ~0ull}}))
             .status == 200);
--- a/tests/plan_news_test.cpp
+++ b/tests/plan_entries_test.cpp
@@ -23,7 +23,7 @@
   Replica() : state(board) {}
   void take(const std::string& plan) {
     Action action;
-    action.update = packed(ControlUpdate{ControlMatter::plan, 0, packed(PlanUpdate{plan})});
+    action.update = packed(ControlCommand{ControlCommandType::plan, 0, packed(PlanCommand{plan})});
     CHECK(state.applyGreen(action, ++position) == "held");
   }
   std::size_t bytesSince(const Topic& topic, std::uint64_t mark) const {
--- a/tests/plan_test.cpp
+++ b/tests/plan_test.cpp
@@ -38,7 +38,7 @@
 TEST_CASE("a sound plan is read whole") {
   auto plan = PlanReader{}.read(sound().dump());
   REQUIRE(plan);
-  CHECK(plan->mark == PlanMark{4});
+  CHECK(plan->mark == PlanVersion{4});
   const auto& service = plan->services.at(ServiceName{"s1"});
   CHECK(service.branches.size() == 3);
   CHECK(service.branches.at(BranchName{"lookups"}).order == 2);
@@ -161,7 +161,7 @@
   CHECK_FALSE(reader.read("{\"mark\":1"));
   CHECK_FALSE(reader.read(""));
   CHECK_FALSE(reader.read("[]"));
-  CHECK_FALSE(reader.read(std::string(PlanReader::mostBytes + 1, ' ')));
+  CHECK_FALSE(reader.read(std::string(PlanReader::maxBytes + 1, ' ')));
   auto text = sound().dump();
   text.insert(1, "\"mark\":5,");
   CHECK_FALSE(reader.read(text));
@@ -207,7 +207,7 @@
     });
   };
   CHECK(check.changes.empty());
-  CHECK(has(check.misfits, "kind lookup selects no machine"));
+  CHECK(has(check.errors, "kind lookup selects no machine"));
   CHECK(has(check.warnings, "10.1.0.2:1 is not in the fleet"));
   CHECK(has(check.warnings, "s1/d2 has sent no heartbeat"));
   CHECK(has(check.warnings, "s1/d9 is not in the plan"));
@@ -215,9 +215,9 @@
   other["kinds"].erase("lookup");
   check = checkPlan(*PlanReader{}.read(other.dump()), plan, status);
   CHECK(has(check.changes, "removes kind lookup"));
-  CHECK(has(check.misfits, "held with other content"));
+  CHECK(has(check.errors, "held with other content"));
   other["mark"] = 3;
-  CHECK(has(checkPlan(*PlanReader{}.read(other.dump()), plan, status).misfits, "older"));
+  CHECK(has(checkPlan(*PlanReader{}.read(other.dump()), plan, status).errors, "older"));
 }
 
 TEST_CASE("a service is given with its databases or found by heartbeats, not both and not neither") {
@@ -232,8 +232,8 @@
   REQUIRE(plan);
   const auto& read = plan->services.at(ServiceName{"s1"});
   CHECK(read.discovered);
-  CHECK_FALSE(read.keepsAcknowledged());
-  CHECK(PlanReader{}.read(sound().dump())->services.at(ServiceName{"s1"}).keepsAcknowledged());
+  CHECK_FALSE(read.keepsAcknowledgedWrites());
+  CHECK(PlanReader{}.read(sound().dump())->services.at(ServiceName{"s1"}).keepsAcknowledgedWrites());
   json["kinds"]["lookup"]["databases"] = {"big"};
   CHECK(faulted(json, "kinds.lookup.databases"));
   json["kinds"] = Json::object();
@@ -265,19 +265,19 @@
   auto& kind = json["kinds"][name] = json["kinds"]["lookup"];
   kind.update(Json{{"staleness-ms", 700}, {"statement-ms", 800}, {"aim-ms", 200}, {"order", 2}, {"host", "records"}, {"prefix", "/"}});
   json["limits"] = {{"idle-transaction-ms", 3000}, {"message-bytes", 1ull << 40}};
-  json["annotation"] = std::string(PlanReader::mostAnnotation, 'x');
+  json["annotation"] = std::string(PlanReader::maxAnnotationBytes, 'x');
   auto plan = PlanReader{}.read(json.dump());
   REQUIRE(plan);
   const auto& read = plan->kinds.at(KindName{name});
   CHECK(read.stalenessBound() == 700ms);
   CHECK(plan->kinds.at(KindName{"lookup"}).stalenessBound() == 1500ms);
-  CHECK(read.statement == 800ms);
-  CHECK(read.aim == 200ms);
+  CHECK(read.statementTimeout == 800ms);
+  CHECK(read.targetLatency == 200ms);
   CHECK(read.order == 2);
   CHECK(read.host == "records");
   CHECK(read.prefix == "/");
   CHECK(plan->limits.at("message-bytes") == 1ull << 40);
-  CHECK(plan->annotation.size() == PlanReader::mostAnnotation);
+  CHECK(plan->annotation.size() == PlanReader::maxAnnotationBytes);
   CHECK(unpacked<PlanKind>(packed(read))->stalenessBound() == 700ms);
   auto broken = [&](auto&& change) {
     auto other = json;
@@ -285,7 +285,7 @@
     return other;
   };
   CHECK(faulted(broken([](Json& plan) {
-                  plan["annotation"] = std::string(PlanReader::mostAnnotation + 1, 'x');
+                  plan["annotation"] = std::string(PlanReader::maxAnnotationBytes + 1, 'x');
                 }),
                 "annotation"));
   CHECK(faulted(broken([](Json& plan) {
--- a/tests/platform/adapter_programs.cpp
+++ b/tests/platform/adapter_programs.cpp
@@ -67,7 +67,7 @@
 }
 
 void CoreProgram::settingsChanged() {
-  replica_.change(replicaSettings(process_));
+  replica_.updateSettings(replicaSettings(process_));
   wireDatabases_.change(process_.platformApi);
 }
 
--- a/tests/platform/adapter_settings.cpp
+++ b/tests/platform/adapter_settings.cpp
@@ -50,8 +50,8 @@
   settings.seeds = peers(process);
   settings.timings = timings(process);
   settings.timings.databaseHeartbeat = 1200ms;
-  settings.mayFound = process.machine().firstStart;
-  settings.losses = process.shape().losses;
+  settings.mayBootstrap = process.machine().firstStart;
+  settings.toleratedLosses = process.shape().losses;
   settings.rations = true;
   return settings;
 }
--- a/tests/platform/broken_adapters.cpp
+++ b/tests/platform/broken_adapters.cpp
@@ -11,7 +11,7 @@
 class OtherConnection : public BackEndConnection {
  public:
   OtherConnection(std::unique_ptr<BackEndConnection> own, BackEndRun run) : own_(std::move(own)), run_(run) {}
-  Task<BackEndReply> run(Statement statement, std::optional<Place> after, Instant deadline) override {
+  Task<BackEndReply> run(Statement statement, std::optional<LogPosition> after, Instant deadline) override {
     return run_(*own_, std::move(statement), after, deadline);
   }
   bool usable() const override { return own_->usable(); }
@@ -142,7 +142,7 @@
  public:
   using DatabasesMisled::DatabasesMisled;
   Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) override {
-    holder.fence = 1'000'000 - epoch.get();
+    holder.fencingToken = 1'000'000 - epoch.get();
     return own_.promote(std::move(target), epoch, std::move(holder), deadline);
   }
 };
--- a/tests/platform/broken_adapters.hpp
+++ b/tests/platform/broken_adapters.hpp
@@ -4,7 +4,7 @@
 
 namespace tamarindshift::testing {
 
-using BackEndRun = Task<BackEndReply> (*)(BackEndConnection& own, Statement statement, std::optional<Place> after, Instant deadline);
+using BackEndRun = Task<BackEndReply> (*)(BackEndConnection& own, Statement statement, std::optional<LogPosition> after, Instant deadline);
 
 // adapters that each break a rule; the checkers must speak
 AdapterWraps runsOtherwise(BackEndRun run);
