--- a/tests/platform/broken_adapters_test.cpp
+++ b/tests/platform/broken_adapters_test.cpp
@@ -53,14 +53,14 @@
 }  // namespace
 
 TEST_CASE("UNASKED speaks when a statement is changed on its way") {
-  CHECK(brokenBy([](BackEndConnection& own, Statement statement, std::optional<Place> after, Instant deadline) {
+  CHECK(brokenBy([](BackEndConnection& own, Statement statement, std::optional<LogPosition> after, Instant deadline) {
           if (statement.kind == StatementKind::read) statement.text += "x";
           return own.run(std::move(statement), after, deadline);
         }).contains("UNASKED"));
 }
 
 TEST_CASE("TWICE speaks when a write is sent again") {
-  CHECK(brokenBy([](BackEndConnection& own, Statement statement, std::optional<Place> after, Instant deadline) -> Task<BackEndReply> {
+  CHECK(brokenBy([](BackEndConnection& own, Statement statement, std::optional<LogPosition> after, Instant deadline) -> Task<BackEndReply> {
           auto again = statement;
           auto reply = co_await own.run(std::move(statement), after, deadline);
           if (again.kind != StatementKind::write || reply.fate != BackEndFate::replied) co_return reply;
@@ -69,7 +69,7 @@
 }
 
 TEST_CASE("MIXED speaks when rows are changed") {
-  CHECK(brokenBy([](BackEndConnection& own, Statement statement, std::optional<Place> after, Instant deadline) -> Task<BackEndReply> {
+  CHECK(brokenBy([](BackEndConnection& own, Statement statement, std::optional<LogPosition> after, Instant deadline) -> Task<BackEndReply> {
           auto reply = co_await own.run(std::move(statement), after, deadline);
           for (auto& row : reply.rows) row += "!";
           co_return reply;
@@ -77,7 +77,7 @@
 }
 
 TEST_CASE("PINNED speaks when session values are not set") {
-  CHECK(brokenBy([](BackEndConnection& own, Statement statement, std::optional<Place> after, Instant deadline) -> Task<BackEndReply> {
+  CHECK(brokenBy([](BackEndConnection& own, Statement statement, std::optional<LogPosition> after, Instant deadline) -> Task<BackEndReply> {
           if (statement.kind != StatementKind::set) co_return co_await own.run(std::move(statement), after, deadline);
           BackEndReply reply;
           reply.fate = BackEndFate::replied;
@@ -87,7 +87,7 @@
 }
 
 TEST_CASE("REFUSED speaks when a commit that was kept is told as aborted") {
-  CHECK(brokenBy([](BackEndConnection& own, Statement statement, std::optional<Place> after, Instant deadline) -> Task<BackEndReply> {
+  CHECK(brokenBy([](BackEndConnection& own, Statement statement, std::optional<LogPosition> after, Instant deadline) -> Task<BackEndReply> {
           bool commits = statement.kind == StatementKind::commit;
           auto reply = co_await own.run(std::move(statement), after, deadline);
           if (commits && reply.fault == StatementFault::none) reply.fault = StatementFault::aborted;
@@ -99,7 +99,7 @@
   const std::string lagging = "shape lag=300ms\nuntil 16s\nexpect served 0.9 from 10s until 16s\n";
   CHECK(broken(lagging).empty());
   CHECK(brokenBy(
-            [](BackEndConnection& own, Statement statement, std::optional<Place>, Instant deadline) {
+            [](BackEndConnection& own, Statement statement, std::optional<LogPosition>, Instant deadline) {
               return own.run(std::move(statement), std::nullopt, deadline);
             },
             lagging)
--- a/tests/platform/configuration_check_test.cpp
+++ b/tests/platform/configuration_check_test.cpp
@@ -10,20 +10,20 @@
 
 TEST_CASE("invariants: an acknowledged version that is not green here is noticed") {
   CheckTrial trial;
-  checkAcknowledgedVersion(trial.journal, PlanMark{4}, PlanMark{4});
-  checkAcknowledgedVersion(trial.journal, PlanMark{4}, PlanMark{7});
+  checkAcknowledgedVersion(trial.journal, PlanVersion{4}, PlanVersion{4});
+  checkAcknowledgedVersion(trial.journal, PlanVersion{4}, PlanVersion{7});
   CHECK(trial.violations() == 0);
-  checkAcknowledgedVersion(trial.journal, PlanMark{4}, PlanMark{3});
+  checkAcknowledgedVersion(trial.journal, PlanVersion{4}, PlanVersion{3});
   CHECK(trial.violations() == 1);
-  checkAcknowledgedVersion(trial.journal, PlanMark{4}, std::nullopt);
+  checkAcknowledgedVersion(trial.journal, PlanVersion{4}, std::nullopt);
   CHECK(trial.violations() == 1);
 }
 
 TEST_CASE("invariants: a read without a fresh proof, or older than what was acknowledged, is noticed") {
   CheckTrial trial;
   ReadFacts facts;
-  facts.version = PlanMark{7};
-  facts.acknowledged = PlanMark{7};
+  facts.version = PlanVersion{7};
+  facts.acknowledged = PlanVersion{7};
   checkRead(trial.journal, facts);
   CHECK(trial.violations() == 0);
   SECTION("outside of the primary component") {
@@ -33,7 +33,7 @@
     facts.provedSinceAsked = false;
   }
   SECTION("an older version") {
-    facts.version = PlanMark{6};
+    facts.version = PlanVersion{6};
   }
   checkRead(trial.journal, facts);
   CHECK(trial.violations() == 1);
--- a/tests/platform/configuration_translation_test.cpp
+++ b/tests/platform/configuration_translation_test.cpp
@@ -48,7 +48,7 @@
 TEST_CASE("configuration: the example becomes a plan that is taken", "[configuration]") {
   auto plan = planOf(example);
   REQUIRE(plan);
-  CHECK(plan->mark == PlanMark{7});
+  CHECK(plan->mark == PlanVersion{7});
   CHECK(plan->services.size() == 3);
   CHECK(plan->kinds.size() == 3);
   const auto& service = plan->services.at(ServiceName{"huvo11a"});
@@ -65,7 +65,7 @@
   CHECK(strict.host == "lepu270");
   CHECK(strict.prefix == "/");
   CHECK(strict.statement == Duration{800ms});
-  CHECK(strict.aim == Duration{200ms});
+  CHECK(strict.targetLatency == Duration{200ms});
   CHECK(strict.order == 1);
   const auto& bounded = plan->kinds.at(KindName{"r-qasnmgk"});
   CHECK(bounded.consistency == Consistency::lookups);
@@ -123,7 +123,7 @@
                          json["revision"] = revision;
                        }).dump());
     REQUIRE(plan);
-    CHECK(plan->mark == PlanMark{revision});
+    CHECK(plan->mark == PlanVersion{revision});
   }
   for (const char* revision : {"0", "-1", "1.5", "1e3", "\"7\"", "null", "true", "[7]", "18446744073709551616"}) {
     auto text = example;
--- a/tests/platform/control_door_test.cpp
+++ b/tests/platform/control_door_test.cpp
@@ -178,7 +178,7 @@
   for (std::uint64_t number = 100; number < 108; ++number) {
     CHECK(cluster.beat(number % 3, "d3", number) == 200);
     cluster.run(1s);
-    CHECK((!cluster.enrolledAt(0, "d3") || cluster.replica(0).state().drained(ServiceName{"s1"}, DatabaseName{"d3"})));
+    CHECK((!cluster.enrolledAt(0, "d3") || cluster.replica(0).state().drainMark(ServiceName{"s1"}, DatabaseName{"d3"})));
   }
   CHECK_FALSE(cluster.enrolledAt(0, "d3"));
 }
@@ -196,12 +196,12 @@
   cluster.run(1ms);
   cluster.cutOff(2);
   cluster.run(1ms);
-  REQUIRE(cluster.replica(0).access().database(ServiceName{"s1"}, DatabaseName{"d3"})->heartbeat.leaving);
+  REQUIRE(cluster.replica(0).reports().database(ServiceName{"s1"}, DatabaseName{"d3"})->heartbeat.leaving);
   std::optional<DoorReply> again;
   tasks.spawn(answering(cluster.call(0, "POST", "/api/Instances.Heartbeat/d3", body.dump()), again));
   for (int steps = 0; steps < 4000 && !again; ++steps) cluster.run(1ms);
   REQUIRE(again);
-  CHECK((again->status != 200 || cluster.replica(0).state().drained(ServiceName{"s1"}, DatabaseName{"d3"})));
+  CHECK((again->status != 200 || cluster.replica(0).state().drainMark(ServiceName{"s1"}, DatabaseName{"d3"})));
 }
 
 TEST_CASE("a database whose id is no plain text is refused and keeps no page from being shown") {
--- a/tests/platform/front_door_limits_test.cpp
+++ b/tests/platform/front_door_limits_test.cpp
@@ -11,8 +11,8 @@
 struct LimitsTrial : PoolerTrial {
   LimitsTrial() { limits(); }
   void limits() {
-    FleetPlanNews plan;
-    plan.mark = PlanMark{100};
+    PublishedFleetPlan plan;
+    plan.mark = PlanVersion{100};
     for (const auto& [name, kind] : kinds) plan.kinds[name] = kind.service;
     plan.limits = {{"idle-transaction-ms", 3000}, {"idle-session-ms", 5000}, {"message-bytes", 200}};
     news.putPlan(fleetTopic, plan);
@@ -62,7 +62,7 @@
 
 TEST_CASE("front: a session is not closed inside a transaction or while it asks", "[front][limits]") {
   LimitsTrial trial;
-  trial.kinds.at(KindName{"strict"}).statement = 20s;
+  trial.kinds.at(KindName{"strict"}).statementTimeout = 20s;
   trial.publishService();
   trial.run(50ms);
   auto inside = trial.session();
--- a/tests/platform/line_door_trial.hpp
+++ b/tests/platform/line_door_trial.hpp
@@ -2,7 +2,7 @@
 
 #include <array>
 
-#include "control/service_news.hpp"
+#include "control/published_entries.hpp"
 #include "platform/front_door.hpp"
 #include "real/real_clock.hpp"
 #include "real/tcp_line_door.hpp"
@@ -16,27 +16,27 @@
 class LineDoorTrial {
  public:
   LineDoorTrial() {
-    backEnds.add("d1", true, Place{Epoch{3}, Position{100}});
+    backEnds.add("d1", true, LogPosition{Epoch{3}, Position{100}});
     PlanKind kind;
     kind.service = ServiceName{"s1"};
     kind.branch = BranchName{"work"};
     kind.host = "strict";
-    FleetPlanNews fleet;
-    fleet.mark = PlanMark{1};
+    PublishedFleetPlan fleet;
+    fleet.mark = PlanVersion{1};
     fleet.kinds[KindName{"strict"}] = kind.service;
     news.putPlan(fleetTopic, fleet);
-    NodeNews own;
+    PublishedNode own;
     own.boot = boot;
     news.put(fleetTopic, "node/" + node.get(), own);
-    ServiceNews service;
+    PublishedServicePlan service;
     service.service.discovered = true;
     service.service.branches[kind.branch].connections = 2;
     service.kinds[KindName{"strict"}] = kind;
     news.putPlan("s1", service);
-    news.put("s1", "primary", PrimaryNews{Epoch{1}, DatabaseName{"d1"}, true, false});
-    news.put("s1", "database/d1", DatabaseNews{Address{"10.2.0.1:1"}, Zone{}, 10});
-    ShareNews share;
-    share.most[kind.branch] = 2;
+    news.put("s1", "primary", PublishedPrimary{Epoch{1}, DatabaseName{"d1"}, true, false});
+    news.put("s1", "database/d1", PublishedDatabase{Address{"10.2.0.1:1"}, Zone{}, 10});
+    PublishedShare share;
+    share.connections[kind.branch] = 2;
     news.put("s1", "share/" + node.get(), share);
     opened = !door.open();
   }
--- a/tests/platform/platform_wire_test.cpp
+++ b/tests/platform/platform_wire_test.cpp
@@ -51,7 +51,8 @@
     DatabaseTarget target{ServiceName{"s1"}, DatabaseName{"d1"}, Address{"10.2.0.1:1"}};
     opened = co_await backEnds.open(target, clock.now() + 500ms);
   }
-  Task<void> running(BackEndConnection& connection, Statement statement, std::optional<Place> after, std::optional<BackEndReply>& reply) {
+  Task<void> running(BackEndConnection& connection, Statement statement, std::optional<LogPosition> after,
+                     std::optional<BackEndReply>& reply) {
     reply = co_await connection.run(statement, after, clock.now() + 500ms);
   }
   // the line of an accepted SETUP
@@ -64,7 +65,7 @@
     return line;
   }
   std::optional<BackEndReply> ask(ScriptedLine& line, const std::string& text, const std::string& answer,
-                                  std::optional<Place> after = std::nullopt) {
+                                  std::optional<LogPosition> after = std::nullopt) {
     std::optional<BackEndReply> reply;
     scope.spawn(running(*opened->connection, *clientStatement("i1", text), after, reply));
     line.arrive(answer);
@@ -144,10 +145,10 @@
 }
 
 TEST_CASE("wire: places", "[wire]") {
-  CHECK(placeNamed("3.1207") == Place{Epoch{3}, Position{1207}});
-  CHECK(placeNamed("0.0") == Place{Epoch{0}, Position{0}});
-  CHECK(placeNamed("18446744073709551615.1") == Place{Epoch{18446744073709551615u}, Position{1}});
-  CHECK(placeText(Place{Epoch{3}, Position{1207}}) == "3.1207");
+  CHECK(placeNamed("3.1207") == LogPosition{Epoch{3}, Position{1207}});
+  CHECK(placeNamed("0.0") == LogPosition{Epoch{0}, Position{0}});
+  CHECK(placeNamed("18446744073709551615.1") == LogPosition{Epoch{18446744073709551615u}, Position{1}});
+  CHECK(placeText(LogPosition{Epoch{3}, Position{1207}}) == "3.1207");
   for (const char* text :
        {"", "-", "3", "3.", ".7", "3.x", "x.7", "3.7.1", "-3.7", "+3.7", " 3.7", "3.7 ", "3. 7", "18446744073709551616.1", "0x3.7"}) {
     INFO(text);
@@ -363,7 +364,7 @@
   REQUIRE(trial.opened->connection);
   CHECK(line.written == "SETUP s1 pooler d1\r\n");
   CHECK(trial.opened->answered);
-  CHECK(trial.opened->place == Place{Epoch{3}, Position{7}});
+  CHECK(trial.opened->place == LogPosition{Epoch{3}, Position{7}});
 }
 
 TEST_CASE("back: a refused SETUP is answered, a closed or silent one is not", "[back]") {
@@ -400,7 +401,7 @@
   auto& line = trial.open();
   line.taken();
   auto reply =
-      trial.ask(line, "READ 1a4", "ROW qhzk  wmt\r\nROW\r\nCOMPLETE 7.1f3.c\r\nIDLE I 3.1209\r\n", Place{Epoch{3}, Position{1207}});
+      trial.ask(line, "READ 1a4", "ROW qhzk  wmt\r\nROW\r\nCOMPLETE 7.1f3.c\r\nIDLE I 3.1209\r\n", LogPosition{Epoch{3}, Position{1207}});
   CHECK(line.taken() == "QUERY i1 AFTER 3.1207 READ 1a4\r\n");
   REQUIRE(reply);
   CHECK(reply->fate == BackEndFate::replied);
@@ -408,7 +409,7 @@
   CHECK(reply->rows == std::vector<std::string>{"qhzk  wmt", ""});
   CHECK(reply->stamp == "7.1f3.c");
   CHECK(reply->state == TransactionState::idle);
-  CHECK(reply->place == Place{Epoch{3}, Position{1209}});
+  CHECK(reply->place == LogPosition{Epoch{3}, Position{1209}});
   reply = trial.ask(line, "WRITE 1a4 x", "ERROR READONLY i-7f3a91c2 and more\r\nIDLE E -\r\n");
   CHECK(line.taken() == "QUERY i1 WRITE 1a4 x\r\n");
   CHECK(reply->fault == StatementFault::readOnly);
--- a/tests/pooler_drain_test.cpp
+++ b/tests/pooler_drain_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 std::uint32_t wanted(const PoolerTrial& trial) {
-  return trial.serviceReport().wanted.at(BranchName{"work"});
+  return trial.serviceReport().connectionDemand.at(BranchName{"work"});
 }
 
 }  // namespace
--- a/tests/pooler_epochs_test.cpp
+++ b/tests/pooler_epochs_test.cpp
@@ -209,9 +209,9 @@
   CHECK(alice->ask("WRITE a 2") == "OK");
   CHECK(alice->ask("COMMIT") == "OK");
   trial.run(600ms);
-  CHECK(trial.serviceReport().acknowledged == Place{Epoch{3}, Position{102}});
-  CHECK(trial.serviceReport().working);
+  CHECK(trial.serviceReport().acknowledged == LogPosition{Epoch{3}, Position{102}});
+  CHECK(trial.serviceReport().hasRecentWork);
   trial.run(2s);
-  CHECK_FALSE(trial.serviceReport().working);
-  CHECK(trial.serviceReport().acknowledged == Place{Epoch{3}, Position{102}});
+  CHECK_FALSE(trial.serviceReport().hasRecentWork);
+  CHECK(trial.serviceReport().acknowledged == LogPosition{Epoch{3}, Position{102}});
 }
--- a/tests/pooler_holds_test.cpp
+++ b/tests/pooler_holds_test.cpp
@@ -17,7 +17,7 @@
 TEST_CASE("pooler holds: at most 45% of the statement's bound, then CONGESTED with when to come back", "[pooler][holds]") {
   PoolerTrial trial(oneConnection());
   auto bound = GENERATE(400ms, 1000ms, 2000ms);
-  trial.kinds[KindName{"strict"}].statement = bound;
+  trial.kinds[KindName{"strict"}].statementTimeout = bound;
   trial.publishService();
   trial.run(20ms);
   auto alice = trial.client("alice");
--- a/tests/pooler_reads_test.cpp
+++ b/tests/pooler_reads_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-Place at(std::uint64_t position) {
-  return Place{Epoch{3}, Position{position}};
+LogPosition at(std::uint64_t position) {
+  return LogPosition{Epoch{3}, Position{position}};
 }
 
 std::set<std::string> databasesOf(const std::vector<ScriptedRun>& runs) {
--- a/tests/pooler_rejoin_test.cpp
+++ b/tests/pooler_rejoin_test.cpp
@@ -31,7 +31,7 @@
 
 TEST_CASE("pooler rejoins: without a lease all connections are closed, whatever they are doing", "[pooler][rejoin]") {
   PoolerTrial trial;
-  trial.kinds.at(KindName{"strict"}).statement = 10s;
+  trial.kinds.at(KindName{"strict"}).statementTimeout = 10s;
   trial.publishService();
   trial.run(20ms);
   auto rests = trial.client("rests");
@@ -110,7 +110,7 @@
     CHECK(trial.backEnds.at("d1").connections == 0);
   }
   CHECK(alice->finish(asked) == "CONGESTED");
-  CHECK(trial.serviceReport().followed == trial.news.mark("s1"));
+  CHECK(trial.serviceReport().appliedPosition == trial.news.mark("s1"));
 }
 
 TEST_CASE("pooler rejoins: after a lapse a session finds its values, names and own writes", "[pooler][rejoin]") {
@@ -152,7 +152,7 @@
       asked.push_back(nullptr);
       steps.push_back(0);
     }
-    for (auto& [name, kind] : trial.kinds) kind.statement = 600ms;
+    for (auto& [name, kind] : trial.kinds) kind.statementTimeout = 600ms;
     trial.publishService();
     trial.backEnds.at("d1").rollbackForgets = trial.backEnds.at("d2").rollbackForgets = seed % 2 == 0;
     std::uint64_t epoch = 1;
--- a/tests/pooler_routes_test.cpp
+++ b/tests/pooler_routes_test.cpp
@@ -8,7 +8,7 @@
 
 struct RoutesTrial : PoolerTrial {
   RoutesTrial() {
-    backEnds.add("d4", true, Place{Epoch{7}, Position{10}});
+    backEnds.add("d4", true, LogPosition{Epoch{7}, Position{10}});
     kinds[KindName{"other"}] = kinds.at(KindName{"strict"});
     kinds[KindName{"other"}].service = ServiceName{"s2"};
     kinds[KindName{"other"}].host = "other";
@@ -144,7 +144,7 @@
   RoutesTrial trial;
   auto alice = trial.client("alice");
   trial.backEnds.at("d1").slowness = 10s;
-  trial.kinds[KindName{"strict"}].statement = 300ms;
+  trial.kinds[KindName{"strict"}].statementTimeout = 300ms;
   trial.publish();
   trial.backEnds.script("d1", StatementKind::read, ScriptedOutcome::slow);
   CHECK(alice->ask("READ a") == "EXPIRED");
--- a/tests/pooler_shares_test.cpp
+++ b/tests/pooler_shares_test.cpp
@@ -77,17 +77,17 @@
   trial.share(1);
   auto mark = trial.news.mark("s1");
   trial.run(700ms);
-  CHECK(trial.serviceReport().followed < mark);
+  CHECK(trial.serviceReport().appliedPosition < mark);
   CHECK(holders[0]->ask("COMMIT") == "OK");
   trial.run(700ms);
   CHECK(trial.backEnds.at("d1").connections == 2);
-  CHECK(trial.serviceReport().followed < mark);
+  CHECK(trial.serviceReport().appliedPosition < mark);
   auto waiting = trial.client("waiting");
   CHECK(waiting->ask("READ b") == "CONGESTED");
   CHECK(holders[1]->ask("COMMIT") == "OK");
   trial.run(700ms);
   CHECK(trial.backEnds.at("d1").connections == 1);
-  CHECK(trial.serviceReport().followed == mark);
+  CHECK(trial.serviceReport().appliedPosition == mark);
   CHECK(holders[2]->ask("COMMIT") == "OK");
   CHECK(waiting->ask("READ b") == "OK");
 }
@@ -136,24 +136,24 @@
   trial.share(5);
   trial.press(700ms);
   CHECK(trial.backEnds.at("d1").connections == 5);
-  CHECK(trial.serviceReport().followed == trial.news.mark("s1"));
+  CHECK(trial.serviceReport().appliedPosition == trial.news.mark("s1"));
 }
 
 TEST_CASE("pooler shares: more is wanted when all is in use", "[pooler][shares]") {
   SharesTrial trial(shareOf(2));
   trial.backEnds.at("d1").work = 50ms;
   trial.run(600ms);
-  auto idle = trial.serviceReport().wanted.at(BranchName{"work"});
+  auto idle = trial.serviceReport().connectionDemand.at(BranchName{"work"});
   trial.crowd(10);
   trial.press(1200ms);
-  auto pressed = trial.serviceReport().wanted.at(BranchName{"work"});
+  auto pressed = trial.serviceReport().connectionDemand.at(BranchName{"work"});
   CHECK(idle >= 1);
   CHECK(pressed > 2);
 }
 
 TEST_CASE("pooler shares: one enrolled under another boot is not used", "[pooler][shares]") {
   SharesTrial trial(shareOf(2));
-  NodeNews other;
+  PublishedNode other;
   other.zone = Zone{"z1"};
   other.boot = 4;
   trial.news.put(fleetTopic, "node/10.1.0.1:1", other);
@@ -192,7 +192,7 @@
       for (; reports < trial.reports.size(); ++reports) {
         auto found = trial.reports[reports].services.find(ServiceName{"s1"});
         if (found == trial.reports[reports].services.end()) continue;
-        auto followed = shareAt.find(found->second.followed);
+        auto followed = shareAt.find(found->second.appliedPosition);
         if (followed != shareAt.end() && std::next(followed) == shareAt.end()) CHECK(now <= followed->second);
       }
     }
--- a/tests/pooler_status_test.cpp
+++ b/tests/pooler_status_test.cpp
@@ -80,7 +80,7 @@
   trial.share(0);
   trial.run(200ms);
   CHECK(service(trial).at("shareless") == "nothing is granted; the status of the duty holder says why");
-  NodeNews other;
+  PublishedNode other;
   other.boot = 99;
   trial.news.put(fleetTopic, "node/10.1.0.1:1", other);
   trial.run(200ms);
--- a/tests/pooler_transactions_test.cpp
+++ b/tests/pooler_transactions_test.cpp
@@ -61,7 +61,7 @@
   auto begins = trial.runsOf("BEGIN READ");
   REQUIRE(begins.size() == 1);
   CHECK(begins.front().database != "d1");
-  CHECK(begins.front().after == Place{Epoch{3}, Position{101}});
+  CHECK(begins.front().after == LogPosition{Epoch{3}, Position{101}});
   for (const char* text : {"READ a", "READ b", "COMMIT"}) {
     CHECK(trial.runsOf(text).front().connection == begins.front().connection);
     CHECK_FALSE(trial.runsOf(text).front().after);
--- a/tests/pooler_trial.cpp
+++ b/tests/pooler_trial.cpp
@@ -133,9 +133,9 @@
   backEnds.observed = [this](const ScriptedRun& run) {
     observe(run);
   };
-  backEnds.add("d1", true, Place{Epoch{3}, Position{100}});
-  backEnds.add("d2", false, Place{Epoch{3}, Position{100}});
-  backEnds.add("d3", false, Place{Epoch{3}, Position{100}});
+  backEnds.add("d1", true, LogPosition{Epoch{3}, Position{100}});
+  backEnds.add("d2", false, LogPosition{Epoch{3}, Position{100}});
+  backEnds.add("d3", false, LogPosition{Epoch{3}, Position{100}});
   pooler.emplace(clock, guide, backEnds, journal, settings, boot, [this](NodeReport report) {
     reports.push_back(std::move(report));
   });
@@ -213,20 +213,20 @@
 }
 
 void PoolerTrial::publishFleet() {
-  FleetPlanNews plan;
-  plan.mark = PlanMark{++planMark_};
+  PublishedFleetPlan plan;
+  plan.mark = PlanVersion{++planMark_};
   for (const auto& [name, kind] : kinds) plan.kinds[name] = kind.service;
   plan.limits["idle-transaction-ms"] = 3000;
   news.putPlan(fleetTopic, plan);
-  NodeNews own;
+  PublishedNode own;
   own.zone = settings.zone;
   own.boot = boot;
   news.put(fleetTopic, "node/" + node.get(), own);
 }
 
 void PoolerTrial::publishService(const std::string& name) {
-  ServiceNews service;
-  service.mark = PlanMark{planMark_};
+  PublishedServicePlan service;
+  service.mark = PlanVersion{planMark_};
   service.service.discovered = true;
   service.service.connections = 100;
   service.service.branches[branch].connections = 100;
@@ -236,17 +236,17 @@
 }
 
 void PoolerTrial::primary(std::uint64_t epoch, const std::string& name, bool promoted, bool planned, const std::string& service) {
-  news.put(service, "primary", PrimaryNews{Epoch{epoch}, DatabaseName{name}, promoted, planned});
+  news.put(service, "primary", PublishedPrimary{Epoch{epoch}, DatabaseName{name}, promoted, planned});
 }
 
 void PoolerTrial::share(std::uint32_t most, const std::string& service) {
-  ShareNews own;
-  own.most[branch] = most;
+  PublishedShare own;
+  own.connections[branch] = most;
   news.put(service, "share/" + node.get(), own);
 }
 
 void PoolerTrial::knows(const std::string& name, const std::string& zone, const std::string& service) {
-  news.put(service, "database/" + name, DatabaseNews{Address{"10.2.0." + name.substr(1) + ":1"}, Zone{zone}, 100});
+  news.put(service, "database/" + name, PublishedDatabase{Address{"10.2.0." + name.substr(1) + ":1"}, Zone{zone}, 100});
 }
 
 void PoolerTrial::drained(const std::string& name) {
@@ -267,7 +267,7 @@
   own.service = serviceName;
   own.branch = branch;
   own.consistency = consistency;
-  own.statement = 1000ms;
+  own.statementTimeout = 1000ms;
   own.order = order;
   own.host = name;
 }
--- a/tests/pooler_trial.hpp
+++ b/tests/pooler_trial.hpp
@@ -111,10 +111,10 @@
   void checkPromises();
 
   std::map<std::string, TrialClient*> clients_;
-  std::vector<std::pair<Instant, Place>> acknowledged_;
+  std::vector<std::pair<Instant, LogPosition>> acknowledged_;
   std::map<std::string, std::string> acknowledgedWrites_;
   std::set<std::string> promisedNotKept_;
-  std::map<std::string, Place> places_;
+  std::map<std::string, LogPosition> places_;
   std::uint64_t planMark_ = 0;
   TaskScope scope_;
 };
--- a/tests/relief_test.cpp
+++ b/tests/relief_test.cpp
@@ -8,7 +8,7 @@
 
 void crash(DiscoveredCluster& cluster) {
   cluster.databases.at("d1").up = false;
-  cluster.own().working = true;
+  cluster.own().hasRecentWork = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.service().epoch == Epoch{2};
@@ -27,12 +27,12 @@
 
 TEST_CASE("a primary that is strained for a while gives its place to a replica that is not") {
   DiscoveredCluster cluster;
-  cluster.own().working = true;
+  cluster.own().hasRecentWork = true;
   cluster.own().strained = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(1s, [&] {
     return cluster.service().epoch == Epoch{2};
   }));
-  CHECK(cluster.service().planned);
+  CHECK(cluster.service().plannedSwitchover);
   REQUIRE(cluster.runUntil(3s, [&] {
     return cluster.promoted("d2");
   }));
@@ -67,7 +67,7 @@
   }
   REQUIRE(cluster.replica(0).state().nodes().contains(other.node));
   cluster.run(1200ms);
-  cluster.own().working = true;
+  cluster.own().hasRecentWork = true;
   cluster.own().strained = {DatabaseName{"d1"}};
   CHECK_FALSE(cluster.runUntil(1500ms, [&] {
     return cluster.service().epoch > Epoch{1};
--- a/tests/report_book_test.cpp
+++ b/tests/report_book_test.cpp
@@ -2,7 +2,7 @@
 
 #include <random>
 
-#include "control/access_tables.hpp"
+#include "control/report_tables.hpp"
 #include "news/report_book.hpp"
 
 using namespace tamarindshift;
@@ -16,7 +16,7 @@
   NodeReport report;
   report.node = Address{"10.1.0.1:1"};
   report.boot = boot;
-  for (const auto& [service, mark] : followed) report.services[ServiceName{service}].followed = mark;
+  for (const auto& [service, mark] : followed) report.services[ServiceName{service}].appliedPosition = mark;
   return report;
 }
 
@@ -27,20 +27,20 @@
   Instant now{};
   REQUIRE(book.note(reportOf(7, {{"s1", 1}, {"s2", 1}})));
   auto first = unpacked<NodeReport>(book.tell(replica, now));
-  CHECK(first->whole);
+  CHECK(first->full);
   CHECK(first->services.size() == 2);
   REQUIRE(book.note(reportOf(7, {{"s1", 1}, {"s2", 1}})));
   auto quiet = unpacked<NodeReport>(book.tell(replica, now));
-  CHECK_FALSE(quiet->whole);
+  CHECK_FALSE(quiet->full);
   CHECK(quiet->services.empty());
   REQUIRE(book.note(reportOf(7, {{"s1", 1}, {"s2", 5}})));
   REQUIRE(book.note(reportOf(7, {{"s1", 1}, {"s2", 5}})));
   auto changed = unpacked<NodeReport>(book.tell(replica, now));
-  CHECK(changed->after == quiet->number);
+  CHECK(changed->baseNumber == quiet->number);
   CHECK(changed->services.size() == 1);
-  CHECK(changed->services.at(ServiceName{"s2"}).followed == 5);
-  CHECK(unpacked<NodeReport>(book.tell(other, now))->whole);
-  CHECK(unpacked<NodeReport>(book.tell(replica, now + 21s))->whole);
+  CHECK(changed->services.at(ServiceName{"s2"}).appliedPosition == 5);
+  CHECK(unpacked<NodeReport>(book.tell(other, now))->full);
+  CHECK(unpacked<NodeReport>(book.tell(replica, now + 21s))->full);
 }
 
 TEST_CASE("a report of a node that started again, or that leaves a service out, is told whole") {
@@ -49,13 +49,13 @@
   REQUIRE(book.note(reportOf(7, {{"s1", 1}, {"s2", 1}})));
   book.tell(replica, now);
   REQUIRE(book.note(reportOf(8, {{"s1", 1}, {"s2", 1}})));
-  CHECK(unpacked<NodeReport>(book.tell(replica, now))->whole);
+  CHECK(unpacked<NodeReport>(book.tell(replica, now))->full);
   REQUIRE(book.note(reportOf(8, {{"s1", 1}})));
   auto fewer = unpacked<NodeReport>(book.tell(replica, now));
-  CHECK(fewer->whole);
+  CHECK(fewer->full);
   CHECK(fewer->services.size() == 1);
   auto partial = reportOf(9, {});
-  partial.whole = false;
+  partial.full = false;
   CHECK_FALSE(book.note(partial));
 }
 
@@ -67,13 +67,13 @@
       return static_cast<unsigned>(random() % bound);
     };
     ReportBook book(20s);
-    auto access = std::make_unique<AccessTables>();
+    auto access = std::make_unique<ReportTables>();
     Instant now{};
     std::uint64_t boot = 1;
     for (int step = 0; step < 200; ++step) {
       now += 50ms;
       if (below(40) == 0) ++boot;
-      if (below(40) == 0) access = std::make_unique<AccessTables>();
+      if (below(40) == 0) access = std::make_unique<ReportTables>();
       std::map<std::string, std::uint64_t> followed;
       for (unsigned service = 0; service < 4; ++service)
         if (below(20) != 0) followed["s" + std::to_string(service)] = below(3);
@@ -81,19 +81,19 @@
       auto bytes = book.tell(replica, now);
       if (below(10) == 0) continue;
       auto report = *unpacked<NodeReport>(bytes);
-      if (access->misses(report)) {
-        access->noteReport(report, now);
+      if (access->lacksBase(report)) {
+        access->recordReport(report, now);
         book.forget(replica);
         report = *unpacked<NodeReport>(book.tell(replica, now));
-        CHECK(report.whole);
+        CHECK(report.full);
       }
-      CHECK_FALSE(access->misses(report));
-      access->noteReport(report, now);
+      CHECK_FALSE(access->lacksBase(report));
+      access->recordReport(report, now);
       const auto& held = access->nodes().at(report.node);
-      CHECK(held.heardAt == now);
+      CHECK(held.lastContact == now);
       CHECK(held.report.boot == boot);
       CHECK(held.report.services.size() == followed.size());
-      for (const auto& [service, mark] : followed) CHECK(held.report.services.at(ServiceName{service}).followed == mark);
+      for (const auto& [service, mark] : followed) CHECK(held.report.services.at(ServiceName{service}).appliedPosition == mark);
     }
   }
 }
--- a/tests/scripted_back_ends.cpp
+++ b/tests/scripted_back_ends.cpp
@@ -25,7 +25,7 @@
   ScriptedConnection(ScriptedBackEnds& backEnds, std::shared_ptr<ScriptedBackEnds::Wire> wire)
       : backEnds_(backEnds), wire_(std::move(wire)) {}
   ~ScriptedConnection() override { backEnds_.close(*wire_); }
-  Task<BackEndReply> run(Statement statement, std::optional<Place> after, Instant deadline) override {
+  Task<BackEndReply> run(Statement statement, std::optional<LogPosition> after, Instant deadline) override {
     return backEnds_.run(wire_, std::move(statement), after, deadline);
   }
   bool usable() const override { return wire_->open; }
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-ScriptedDatabase& ScriptedBackEnds::add(const std::string& name, bool primary, Place place) {
+ScriptedDatabase& ScriptedBackEnds::add(const std::string& name, bool primary, LogPosition place) {
   auto& database = databases_[name];
   database.name = name;
   database.primary = primary;
@@ -217,7 +217,8 @@
   return reply;
 }
 
-Task<BackEndReply> ScriptedBackEnds::run(std::shared_ptr<Wire> wire, Statement statement, std::optional<Place> after, Instant deadline) {
+Task<BackEndReply> ScriptedBackEnds::run(std::shared_ptr<Wire> wire, Statement statement, std::optional<LogPosition> after,
+                                         Instant deadline) {
   BackEndReply reply;
   if (!wire->open) co_return reply;
   auto& database = *wire->database;
--- a/tests/scripted_back_ends.hpp
+++ b/tests/scripted_back_ends.hpp
@@ -32,10 +32,10 @@
   std::uint64_t connection = 0;
   std::string database;
   Statement statement;
-  std::optional<Place> after;
+  std::optional<LogPosition> after;
   std::map<std::string, std::string> values;
   std::map<std::string, PreparedStatement> prepared;
-  Place place;
+  LogPosition place;
   bool inTransaction = false;
   bool ran = false;
   Instant at{};
@@ -45,7 +45,7 @@
 struct ScriptedDatabase {
   std::string name;
   bool primary = false;
-  Place place;
+  LogPosition place;
   Duration work = 5ms;
   Duration slowness = 300ms;
   Duration openWork = 2ms;
@@ -69,7 +69,7 @@
  public:
   explicit ScriptedBackEnds(Clock& clock) : clock_(clock) {}
 
-  ScriptedDatabase& add(const std::string& name, bool primary, Place place);
+  ScriptedDatabase& add(const std::string& name, bool primary, LogPosition place);
   ScriptedDatabase& at(const std::string& name) { return databases_.at(name); }
   const std::map<std::string, ScriptedDatabase>& databases() const { return databases_; }
   void script(const std::string& name, StatementKind kind, ScriptedOutcome outcome) { at(name).next[kind].push_back(outcome); }
@@ -84,7 +84,7 @@
  private:
   friend class ScriptedConnection;
   struct Wire;
-  Task<BackEndReply> run(std::shared_ptr<Wire> wire, Statement statement, std::optional<Place> after, Instant deadline);
+  Task<BackEndReply> run(std::shared_ptr<Wire> wire, Statement statement, std::optional<LogPosition> after, Instant deadline);
   BackEndReply execute(Wire& wire, std::size_t number, std::optional<ScriptedOutcome> outcome);
   StatementFault effect(Wire& wire, ScriptedRun& run);
   void commit(ScriptedDatabase& database, std::vector<std::string> ids);
--- a/tests/scripted_databases.cpp
+++ b/tests/scripted_databases.cpp
@@ -2,7 +2,7 @@
 
 namespace tamarindshift {
 
-void ScriptedDatabases::add(const DatabaseHeartbeat& heartbeat, Place place) {
+void ScriptedDatabases::add(const DatabaseHeartbeat& heartbeat, LogPosition place) {
   auto& added = databases_[heartbeat.database];
   added = Database{};
   added.heartbeat = heartbeat;
@@ -10,10 +10,10 @@
   scope_.spawn(heartbeats(heartbeat.database));
 }
 
-void ScriptedDatabases::tell(const std::string& name) {
+void ScriptedDatabases::sendHeartbeat(const std::string& name) {
   auto& own = at(name);
   ++own.heartbeat.number;
-  if (own.up && !own.dark && !own.silent) scope_.spawn(pass(own.heartbeat));
+  if (own.up && !own.unreachable && !own.silent) scope_.spawn(pass(own.heartbeat));
 }
 
 std::uint64_t ScriptedDatabases::statusCalls() const {
@@ -28,7 +28,7 @@
 
 Task<void> ScriptedDatabases::heartbeats(DatabaseName name) {
   for (;;) {
-    tell(name.get());
+    sendHeartbeat(name.get());
     co_await sleep(clock_, 1200ms);
   }
 }
@@ -36,11 +36,11 @@
 Task<bool> ScriptedDatabases::answers(DatabaseName name, Instant deadline) {
   auto found = databases_.find(name);
   if (found == databases_.end()) co_return false;
-  if (found->second.dark)
+  if (found->second.unreachable)
     co_await sleep(clock_, deadline - clock_.now());
   else
     co_await sleep(clock_, 1ms);
-  co_return found->second.up && !found->second.dark;
+  co_return found->second.up && !found->second.unreachable;
 }
 
 Task<std::optional<DatabaseStanding>> ScriptedDatabases::status(DatabaseTarget target, Instant deadline) {
@@ -58,7 +58,7 @@
   if (own.heartbeat.role == "primary" && epoch > own.place.epoch) {
     own.demotedAt = clock_.now();
     own.heartbeat.role = "replica";
-    tell(target.database.get());
+    sendHeartbeat(target.database.get());
   }
   co_return standing(own);
 }
@@ -85,7 +85,7 @@
   own.heartbeat.role = "primary";
   own.place.epoch = own.newestTerm = Epoch{newest.get() + 1};
   own.ledAt = clock_.now();
-  tell(name.get());
+  sendHeartbeat(name.get());
 }
 
 }  // namespace tamarindshift
--- a/tests/scripted_databases.hpp
+++ b/tests/scripted_databases.hpp
@@ -4,8 +4,8 @@
 
 #include "base/gate.hpp"
 #include "base/task_scope.hpp"
-#include "control/access_messages.hpp"
 #include "control/database_control.hpp"
+#include "control/report_messages.hpp"
 #include "edge/door.hpp"
 
 namespace tamarindshift {
@@ -14,11 +14,11 @@
  public:
   struct Database {
     DatabaseHeartbeat heartbeat;
-    Place place;
+    LogPosition place;
     /// The newest term it knows of, where that is above the one of its log.
     Epoch newestTerm;
     bool up = true;
-    bool dark = false;
+    bool unreachable = false;
     bool silent = false;
     PromotionOutcome promotion = PromotionOutcome::accepted;
     bool leadsWhenAccepted = true;
@@ -35,10 +35,10 @@
 
   ScriptedDatabases(Clock& clock, Deliver deliver) : clock_(clock), deliver_(std::move(deliver)) {}
   Database& at(const std::string& name) { return databases_.at(DatabaseName{name}); }
-  void add(const DatabaseHeartbeat& heartbeat, Place place);
+  void add(const DatabaseHeartbeat& heartbeat, LogPosition place);
   // a database that never sent a heartbeat and answers nothing
-  void addUnheard(const std::string& name) { databases_[DatabaseName{name}].dark = true; }
-  void tell(const std::string& name);
+  void addUnreachable(const std::string& name) { databases_[DatabaseName{name}].unreachable = true; }
+  void sendHeartbeat(const std::string& name);
   std::uint64_t statusCalls() const;
   const std::vector<DutyHolder>& holders() const { return holders_; }
 
--- a/tests/scripted_news.hpp
+++ b/tests/scripted_news.hpp
@@ -2,7 +2,7 @@
 
 #include <set>
 
-#include "control/plan_news.hpp"
+#include "control/plan_entries.hpp"
 #include "news/news_feed.hpp"
 
 namespace tamarindshift {
@@ -34,7 +34,7 @@
     std::erase_if(tables_[topic], [](const auto& each) {
       return isPlanKey(each.first);
     });
-    layPlan(tables_[topic], plan);
+    writePlanEntries(tables_[topic], plan);
     publish(topic);
   }
   void remove(const Topic& topic, const std::string& key) {
--- a/tests/shares_of_removed_branches_test.cpp
+++ b/tests/shares_of_removed_branches_test.cpp
@@ -32,10 +32,10 @@
   SECTION("removed before it was seen to be silent") {
     cluster.plan(2, branches({{"c", 10}}));
     CHECK_FALSE(cluster.runUntil(hold - 500ms, [&] {
-      return !cluster.service().holds(node);
+      return !cluster.service().hasShares(node);
     }));
     CHECK(cluster.runUntil(8s, [&] {
-      return !cluster.service().holds(node);
+      return !cluster.service().hasShares(node);
     }));
   }
   SECTION("removed while its share was reserved already") {
@@ -43,13 +43,13 @@
       return cluster.service().reserved.contains(node);
     }));
     cluster.run(hold - 2s);
-    CHECK(cluster.service().holds(node));
+    CHECK(cluster.service().hasShares(node));
     cluster.plan(2, branches({{"c", 10}}));
     CHECK_FALSE(cluster.runUntil(hold - 500ms, [&] {
-      return !cluster.service().holds(node);
+      return !cluster.service().hasShares(node);
     }));
     CHECK(cluster.runUntil(3s, [&] {
-      return !cluster.service().holds(node);
+      return !cluster.service().hasShares(node);
     }));
   }
   SECTION("one of two, while its share was reserved already") {
@@ -59,10 +59,10 @@
     cluster.run(hold - 2s);
     cluster.plan(2, branches({{"a", 5}, {"c", 5}}));
     CHECK_FALSE(cluster.runUntil(hold - 500ms, [&] {
-      return !cluster.service().holds(node);
+      return !cluster.service().hasShares(node);
     }));
     CHECK(cluster.runUntil(3s, [&] {
-      return !cluster.service().holds(node);
+      return !cluster.service().hasShares(node);
     }));
   }
 }
@@ -81,6 +81,6 @@
   cluster.run(hold - 2s);
   cluster.plan(2, branches({{"a", 5}, {"b", 5}}));
   CHECK(cluster.runUntil(4s, [&] {
-    return !cluster.service().holds(node);
+    return !cluster.service().hasShares(node);
   }));
 }
--- a/tests/shares_restart_test.cpp
+++ b/tests/shares_restart_test.cpp
@@ -12,7 +12,7 @@
 // many nodes besides the one of the cluster, each with a boot of its own
 struct Many : ControlCluster {
   explicit Many(std::size_t count, std::uint32_t connections = 100) {
-    report.services[serviceName].wanted[branch] = 1;
+    report.services[serviceName].connectionDemand[branch] = 1;
     for (std::size_t index = 0; index < count; ++index) boots[address(index)] = 1;
     plan(1, R"({"discovery":"heartbeats","quota":{"connections":)" + std::to_string(connections) + R"(,"branches":{"b":{"connections":)" +
                 std::to_string(connections) + "}}}}");
@@ -33,7 +33,7 @@
         own.node = node;
         own.boot = boot;
         own.draining = draining.contains(node);
-        own.services[serviceName].wanted[branch] = wanted.contains(node) ? wanted.at(node) : 1;
+        own.services[serviceName].connectionDemand[branch] = wanted.contains(node) ? wanted.at(node) : 1;
         auto bytes = packed(own);
         for (std::size_t index = 0; index < 3; ++index)
           nodeDesk.tell(Address{"10.0.0." + std::to_string(index + 1) + ":1"}, "report", bytes);
@@ -44,7 +44,7 @@
   std::uint32_t sum() {
     std::uint32_t sum = 0;
     for (const auto& [node, branches] : service().grants) sum += branches.at(branch);
-    for (const auto& [node, share] : service().reserved) sum += share.most.at(branch);
+    for (const auto& [node, share] : service().reserved) sum += share.connections.at(branch);
     return sum;
   }
   std::uint64_t green() { return replica(0).engine().greenLine(); }
@@ -88,10 +88,10 @@
     }));
     CHECK(cluster.sum() <= 62);
     REQUIRE(cluster.runUntil(30s, [&] {
-      return !cluster.service().holds(node) && cluster.sum() == 62;
+      return !cluster.service().hasShares(node) && cluster.sum() == 62;
     }));
     if (isShort) CHECK(cluster.service().grants.at(other).at(branch) > before);
-    CHECK_FALSE(cluster.service().holds(node));
+    CHECK_FALSE(cluster.service().hasShares(node));
   }
 }
 
