--- a/src/control/control_command.hpp
+++ b/src/control/control_command.hpp
@@ -1,10 +1,13 @@
 #pragma once
 
+// Commands of the replicated control state. Each is the update of one action in the green order; ControlState applies it.
+
 #include "control/plan.hpp"
 #include "control/ration.hpp"
 
 namespace tamarindshift {
 
+/// Selects the body of a command. The numbers are part of the stored log.
 enum class ControlCommandType : std::uint8_t {
   plan = 1,
   drainDatabase = 2,
@@ -20,28 +23,38 @@
   ration = 12,
 };
 
+/// Envelope of a command.
 struct ControlCommand {
   ControlCommandType type{};
+  /// Index of the primary component whose duty holder sent the command; 0 if it was not sent by a duty holder. Commands of a
+  /// lower duty epoch than the highest one applied are rejected.
   std::uint64_t dutyEpoch = 0;
+  /// The packed command of that type.
   std::string body;
   MSGPACK_DEFINE(type, dutyEpoch, body)
 };
 
+/// Puts a new plan into force.
 struct PlanCommand {
+  /// The plan as JSON text.
   std::string text;
   MSGPACK_DEFINE(text)
 };
 
-/// A drain or removal of a database. An empty service stands for whichever service the database is enrolled with.
+/// Drains a database, ends its drain (return) or removes it. An empty service stands for the service that the database is
+/// enrolled with.
 struct DatabaseCommand {
   ServiceName service;
   DatabaseName database;
+  /// Boot and number of the heartbeat that asked for the drain.
   std::uint64_t boot = 0;
   std::uint64_t number = 0;
+  /// Whether the database sent Detach: it does not come back.
   bool detached = false;
   MSGPACK_DEFINE(service, database, boot, number, detached)
 };
 
+/// Enrols a database that was discovered by its heartbeat, or updates its address.
 struct EnrolmentCommand {
   ServiceName service;
   DatabaseName database;
@@ -54,36 +67,44 @@
   MSGPACK_DEFINE(service, database, address, zone, capacity, boot, number, role)
 };
 
+/// Chooses the next primary of a service and raises the epoch.
 struct RecoveryCommand {
   ServiceName service;
+  /// The command is rejected unless this is the service's epoch.
   Epoch oldEpoch;
   DatabaseName chosen;
   std::string reason;
+  /// Whether the former primary still serves and hands over in an orderly way.
   bool plannedSwitchover = false;
-  /// The newest term that the chosen database told before it was chosen.
+  /// The newest term that the chosen database reported before it was chosen.
   Epoch chosenTerm{};
   MSGPACK_DEFINE(service, oldEpoch, chosen, reason, plannedSwitchover, chosenTerm)
 };
 
+/// Confirms that the chosen primary of an epoch leads.
 struct PromotedCommand {
   ServiceName service;
   Epoch epoch;
-  /// The term in which the database leads, as it told.
+  /// The term in which the database leads, as it reported.
   Epoch term{};
   MSGPACK_DEFINE(service, epoch, term)
 };
 
+/// Connections by node and branch.
 using Grants = std::map<Address, std::map<BranchName, std::uint32_t>>;
 
+/// Replaces the shares of a service.
 struct SharesCommand {
   ServiceName service;
+  /// Position of the shares that the new ones were computed from; the command is rejected if they have changed since.
   std::uint64_t basis = 0;
   Grants grants;
+  /// Connections that nodes which leave or do not report may still hold; nobody else gets them.
   Grants reserved;
   MSGPACK_DEFINE(service, basis, grants, reserved)
 };
 
-// without a ration the database is rationed no more
+/// Sets the ration of a database, or ends it if there is no ration.
 struct RationCommand {
   ServiceName service;
   DatabaseName database;
@@ -91,6 +112,7 @@
   MSGPACK_DEFINE(service, database, ration)
 };
 
+/// Enrols, drains or removes an access node.
 struct NodeCommand {
   Address node;
   Zone zone;
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -142,7 +142,7 @@
     });
     state.sharesPosition = position_;
     std::map<BranchName, std::uint32_t> sums;
-    auto fit = [&](std::map<BranchName, std::uint32_t>& branches) {
+    auto cutToBranches = [&](std::map<BranchName, std::uint32_t>& branches) {
       std::erase_if(branches, [&](const auto& branch) {
         return !service.branches.contains(branch.first);
       });
@@ -152,13 +152,13 @@
         sum += amount;
       }
     };
-    // a node that lost some of it may hold it until it follows, or until its time is over from now on
+    // A node whose reserved share was cut may hold it until it applies this update; its time-out starts again here.
     for (auto& [node, share] : state.reserved) {
       auto before = share.connections;
-      fit(share.connections);
+      cutToBranches(share.connections);
       if (share.connections != before) share.reservedAt = share.basis = position_;
     }
-    for (auto& [node, branches] : state.grants) fit(branches);
+    for (auto& [node, branches] : state.grants) cutToBranches(branches);
   }
 }
 
@@ -253,7 +253,7 @@
   return found == state->drained.end() ? nullptr : &found->second;
 }
 
-// a database that quiesces counts for synchronous replication to its end, and its log passes to the next one at its address
+// A draining database counts for synchronous replication until it ends; the next database at its address takes over its log.
 void ControlState::awaitSuccessor(ServiceState& state, const ServiceName& service, const DatabaseName& database) {
   const auto* own = enrolled(service, database);
   if (!own || !state.drained.contains(database)) return;
@@ -345,7 +345,7 @@
     return !command.reserved.contains(each.first);
   });
   for (const auto& [node, connections] : command.reserved)
-    if (auto [held, fresh] = reserved.try_emplace(node, ReservedShare{position_, command.basis, connections}); !fresh)
+    if (auto [held, inserted] = reserved.try_emplace(node, ReservedShare{position_, command.basis, connections}); !inserted)
       held->second.connections = connections;
   if (service->second.grants == command.grants) return "held";
   markChanged(command.service);
@@ -388,6 +388,7 @@
   return "held";
 }
 
+// The stored form of the state. Fields are written by position.
 struct ControlSnapshot {
   std::string planText;
   std::map<ServiceName, ServiceState> services;
@@ -396,7 +397,7 @@
   std::uint64_t position = 0;
   std::map<ServiceName, ServiceState> retired;
   std::map<ServiceName, EnrolledDatabases> enrolled;
-  // where in the green order each topic changed last; the same at all replicas
+  // Position at which each topic changed last; the same at all replicas.
   std::map<Topic, std::uint64_t> marks;
   PlanVersionHistory versions;
   DepartedDatabases departed;
@@ -427,7 +428,7 @@
   nodes_ = restored->nodes;
   versions_ = restored->versions;
   departed_ = restored->departed;
-  // a snapshot of an earlier program has no ledger; the configuration in force is known at least
+  // A snapshot of an earlier program version has no plan version history; record at least the plan in force.
   if (plan_ && versions_.size() == 0) versions_.record(plan_->mark, contentDigest(planText_), true);
   dutyEpoch_ = restored->dutyEpoch;
   position_ = restored->position;
--- a/src/control/control_state_publish.cpp
+++ b/src/control/control_state_publish.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-// How the replicated state is published as news to the nodes.
+// Publishes the replicated state as topic tables to the nodes.
 
 namespace tamarindshift {
 
@@ -21,7 +21,7 @@
   return packed(published);
 }
 
-// what changes of one node costs one entry, however many routes the fleet's news hold
+// A change of one node is published as one entry, so that its cost does not depend on the size of the fleet's table.
 void ControlState::publishNodeChanges() {
   std::vector<NewsChange> changes;
   for (const auto& address : changedNodes_) {
--- a/src/control/operator_api.hpp
+++ b/src/control/operator_api.hpp
@@ -4,6 +4,7 @@
 
 namespace tamarindshift {
 
+/// HTTP API of a replica for operators and databases: plan, heartbeat, Detach, members, status, counters and readiness.
 class OperatorApi : public DoorKeeper {
  public:
   explicit OperatorApi(ReplicaNode& replica, Clock& clock) : replica_(replica), clock_(clock) {}
--- a/src/control/plan_check.cpp
+++ b/src/control/plan_check.cpp
@@ -23,16 +23,16 @@
     if (!after.contains(name)) check.changes.push_back("removes " + what + " " + name.get());
 }
 
-void compareWithHeld(const Plan& plan, const Plan& held, PlanCheck& check) {
+void compareWithCurrent(const Plan& plan, const Plan& current, PlanCheck& check) {
   auto same = [](const auto& left, const auto& right) {
     return packed(left) == packed(right);
   };
-  compare("service", held.services, plan.services, check, same);
-  compare("kind", held.kinds, plan.kinds, check, same);
-  compare("machine", held.machines, plan.machines, check, same);
-  if (plan.mark < held.mark)
-    check.errors.push_back("mark " + std::to_string(plan.mark.get()) + " is older than the held " + std::to_string(held.mark.get()));
-  if (plan.mark == held.mark && !check.changes.empty())
+  compare("service", current.services, plan.services, check, same);
+  compare("kind", current.kinds, plan.kinds, check, same);
+  compare("machine", current.machines, plan.machines, check, same);
+  if (plan.mark < current.mark)
+    check.errors.push_back("mark " + std::to_string(plan.mark.get()) + " is older than the held " + std::to_string(current.mark.get()));
+  if (plan.mark == current.mark && !check.changes.empty())
     check.errors.push_back("mark " + std::to_string(plan.mark.get()) + " is held with other content");
 }
 
@@ -49,17 +49,17 @@
   };
   for (const auto& [name, kind] : plan.kinds)
     if (!selects(kind.machines)) check.errors.push_back("kind " + name.get() + " selects no machine of the fleet");
-  auto living = std::count_if(nodes.begin(), nodes.end(), [](const Json& node) {
+  auto nodesInService = std::count_if(nodes.begin(), nodes.end(), [](const Json& node) {
     return !node.value("draining", false);
   });
   for (const auto& [name, service] : plan.services) {
     for (const auto& [branchName, branch] : service.branches) {
       auto path = name.get() + "/" + branchName.get();
-      if (branch.connections < static_cast<std::uint32_t>(living))
+      if (branch.connections < static_cast<std::uint32_t>(nodesInService))
         check.errors.push_back("branch " + path + " has " + std::to_string(branch.connections) + " connections for " +
-                               std::to_string(living) + " machines");
-      if (branch.floor * static_cast<std::uint64_t>(living) > branch.connections)
-        check.warnings.push_back("branch " + path + " cannot give its floor to " + std::to_string(living) + " machines");
+                               std::to_string(nodesInService) + " machines");
+      if (branch.floor * static_cast<std::uint64_t>(nodesInService) > branch.connections)
+        check.warnings.push_back("branch " + path + " cannot give its floor to " + std::to_string(nodesInService) + " machines");
     }
     auto known = status.value("services", Json::object()).value(name.get(), Json::object());
     auto databases = known.value("databases", Json::object());
@@ -74,10 +74,10 @@
 
 }  // namespace
 
-PlanCheck checkPlan(const Plan& plan, const std::optional<Plan>& held, const Json& status) {
+PlanCheck checkPlan(const Plan& plan, const std::optional<Plan>& current, const Json& status) {
   PlanCheck check;
-  if (held)
-    compareWithHeld(plan, *held, check);
+  if (current)
+    compareWithCurrent(plan, *current, check);
   else
     check.changes.push_back("is the first plan");
   if (status.is_object()) compareWithFleet(plan, status, check);
--- a/src/control/plan_entries.cpp
+++ b/src/control/plan_entries.cpp
@@ -18,7 +18,7 @@
 }
 
 template <class Value>
-std::map<KindName, Value> kindsIn(const NewsTable& table) {
+std::map<KindName, Value> readKinds(const NewsTable& table) {
   std::map<KindName, Value> kinds;
   for (auto entry = table.lower_bound(kindPrefix); entry != table.end() && entry->first.starts_with(kindPrefix); ++entry)
     if (auto value = unpacked<Value>(entry->second)) kinds.emplace(KindName{entry->first.substr(kindPrefix.size())}, std::move(*value));
@@ -26,7 +26,7 @@
 }
 
 template <class Value>
-void layKinds(NewsTable& table, const std::map<KindName, Value>& kinds) {
+void writeKinds(NewsTable& table, const std::map<KindName, Value>& kinds) {
   for (const auto& [name, kind] : kinds) table[kindPrefix + name.get()] = packed(kind);
 }
 
@@ -35,24 +35,24 @@
 void writePlanEntries(NewsTable& table, const PublishedFleetPlan& plan) {
   table[markKey] = packed(plan.mark);
   table[limitsKey] = packed(plan.limits);
-  layKinds(table, plan.kinds);
+  writeKinds(table, plan.kinds);
 }
 
 void writePlanEntries(NewsTable& table, const PublishedServicePlan& plan) {
   table[markKey] = packed(plan.mark);
   table[serviceKey] = packed(plan.service);
-  layKinds(table, plan.kinds);
+  writeKinds(table, plan.kinds);
 }
 
 PublishedFleetPlan readFleetPlan(const NewsTable& table) {
   using Limits = std::map<std::string, std::uint64_t>;
-  return PublishedFleetPlan{readPlanVersion(table), kindsIn<ServiceName>(table), valueAt<Limits>(table, limitsKey).value_or(Limits{})};
+  return PublishedFleetPlan{readPlanVersion(table), readKinds<ServiceName>(table), valueAt<Limits>(table, limitsKey).value_or(Limits{})};
 }
 
 std::optional<PublishedServicePlan> readServicePlan(const NewsTable& table) {
   auto service = valueAt<PlanService>(table, serviceKey);
   if (!service) return std::nullopt;
-  return PublishedServicePlan{readPlanVersion(table), std::move(*service), kindsIn<PlanKind>(table)};
+  return PublishedServicePlan{readPlanVersion(table), std::move(*service), readKinds<PlanKind>(table)};
 }
 
 PlanVersion readPlanVersion(const NewsTable& table) {
--- a/src/control/plan_entries.hpp
+++ b/src/control/plan_entries.hpp
@@ -1,17 +1,22 @@
 #pragma once
 
+// Conversion between plans and entries of the topic tables that subscribers receive.
+
 #include "control/published_entries.hpp"
 #include "news/news_table.hpp"
 
 namespace tamarindshift {
 
-// Plans lie in news tables entry by entry, so that a new plan tells only what differs.
+// A plan is stored as one entry for each part, so that a new plan is sent as the entries that differ only.
 void writePlanEntries(NewsTable& table, const PublishedFleetPlan& plan);
 void writePlanEntries(NewsTable& table, const PublishedServicePlan& plan);
+/// The fleet-wide part of the plan in the table; default values where entries are missing.
 PublishedFleetPlan readFleetPlan(const NewsTable& table);
-// nothing where the table has no plan of the service
+/// Nothing if the table has no plan of the service.
 std::optional<PublishedServicePlan> readServicePlan(const NewsTable& table);
+/// Version 0 if the table has no plan.
 PlanVersion readPlanVersion(const NewsTable& table);
+/// Whether the entry of that key belongs to the plan.
 bool isPlanKey(const std::string& key);
 
 }  // namespace tamarindshift
--- a/src/control/plan_reader.cpp
+++ b/src/control/plan_reader.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// plans in logs and at operators from before the word was changed
-constexpr const char* discoveryFormerly = "beats";
+// Former value of `discovery`; plans in stored logs and operators' files still have it.
+constexpr const char* formerDiscoveryValue = "beats";
 
 }  // namespace
 
@@ -36,7 +36,7 @@
     fault("", tooDeep ? "nested too deep" : "not JSON");
     return std::nullopt;
   }
-  scalarTypes(json, "");
+  checkScalarTypes(json, "");
   for (const char* key : {"services", "kinds", "limits"})
     if (json.is_object() && json.contains(key) && !json[key].is_object()) fault(key, "must be an object");
   if (!faults_.empty()) return std::nullopt;
@@ -48,7 +48,7 @@
     return std::nullopt;
   }
   Plan plan;
-  if (!keys(tree, "", {"mark", "services", "kinds"}, {"machines", "weights", "limits", "annotation"})) return std::nullopt;
+  if (!checkKeys(tree, "", {"mark", "services", "kinds"}, {"machines", "weights", "limits", "annotation"})) return std::nullopt;
   plan.mark = PlanVersion{longNumber(tree.get_child("mark"), "mark", 1)};
   plan.annotation = tree.get<std::string>("annotation", "");
   if (plan.annotation.size() > maxAnnotationBytes) fault("annotation", "larger than " + std::to_string(maxAnnotationBytes) + " bytes");
@@ -76,17 +76,17 @@
       auto path = "weights." + key;
       if (!plan.weights.emplace(Label{name(key, path)}, number(child, path, 1, 1000)).second) fault(path, "duplicate name");
     }
-  if (faults_.empty()) placeKinds(plan);
-  if (faults_.empty()) crossCheck(plan);
-  if (faults_.empty()) hostsApart(plan);
+  if (faults_.empty()) assignBranches(plan);
+  if (faults_.empty()) checkReferences(plan);
+  if (faults_.empty()) checkHostsDistinct(plan);
   if (!faults_.empty()) return std::nullopt;
   return plan;
 }
 
-void PlanReader::scalarTypes(const nlohmann::json& json, const std::string& path) {
+void PlanReader::checkScalarTypes(const nlohmann::json& json, const std::string& path) {
   static const std::set<std::string> numbers{"mark",          "cap",          "connections",  "order", "floor",
                                              "sync-replicas", "staleness-ms", "statement-ms", "aim-ms"};
-  auto counts = [&](const std::string& key) {
+  auto isNumber = [&](const std::string& key) {
     return numbers.contains(key) || path == "weights" || path == "limits";
   };
   if (json.is_array())
@@ -95,16 +95,16 @@
   for (const auto& [key, child] : json.items()) {
     auto own = path.empty() ? key : path + "." + key;
     if (child.is_structured())
-      scalarTypes(child, own);
-    else if (counts(key) && !child.is_number_integer())
+      checkScalarTypes(child, own);
+    else if (isNumber(key) && !child.is_number_integer())
       fault(own, "must be a whole number");
-    else if (!counts(key) && !child.is_string())
+    else if (!isNumber(key) && !child.is_string())
       fault(own, "must be a string, a list or an object");
   }
 }
 
-bool PlanReader::keys(const Tree& tree, const std::string& path, const std::set<std::string>& required,
-                      const std::set<std::string>& optional) {
+bool PlanReader::checkKeys(const Tree& tree, const std::string& path, const std::set<std::string>& required,
+                           const std::set<std::string>& optional) {
   auto before = faults_.size();
   auto dot = path.empty() ? "" : path + ".";
   if (tree.empty()) fault(path, "must be an object");
@@ -118,37 +118,37 @@
   return faults_.size() == before;
 }
 
-std::uint32_t PlanReader::number(const Tree& tree, const std::string& path, std::uint32_t least, std::uint32_t most) {
+std::uint32_t PlanReader::number(const Tree& tree, const std::string& path, std::uint32_t min, std::uint32_t max) {
   const auto& text = tree.data();
   std::uint32_t value = 0;
   auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (!tree.empty() || error != std::errc{} || stop != text.data() + text.size() || value < least || value > most) {
-    fault(path, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
-    return least;
+  if (!tree.empty() || error != std::errc{} || stop != text.data() + text.size() || value < min || value > max) {
+    fault(path, "must be a whole number from " + std::to_string(min) + " to " + std::to_string(max));
+    return min;
   }
   return value;
 }
 
-std::uint64_t PlanReader::longNumber(const Tree& tree, const std::string& path, std::uint64_t least) {
+std::uint64_t PlanReader::longNumber(const Tree& tree, const std::string& path, std::uint64_t min) {
   const auto& text = tree.data();
   std::uint64_t value = 0;
   auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (!tree.empty() || error != std::errc{} || stop != text.data() + text.size() || value < least)
-    fault(path, "must be a whole number from " + std::to_string(least));
+  if (!tree.empty() || error != std::errc{} || stop != text.data() + text.size() || value < min)
+    fault(path, "must be a whole number from " + std::to_string(min));
   return value;
 }
 
-std::optional<Duration> PlanReader::duration(const Tree& tree, const std::string& key, const std::string& path, std::uint64_t least) {
-  static constexpr std::uint64_t mostMilliseconds = 1'000'000'000;
+std::optional<Duration> PlanReader::duration(const Tree& tree, const std::string& key, const std::string& path, std::uint64_t min) {
+  static constexpr std::uint64_t maxMilliseconds = 1'000'000'000;
   auto given = tree.get_child_optional(key);
   if (!given) return std::nullopt;
   auto own = path + "." + key;
-  auto value = longNumber(*given, own, least);
-  if (value > mostMilliseconds) fault(own, "must be at most " + std::to_string(mostMilliseconds));
-  return std::chrono::milliseconds{std::min(value, mostMilliseconds)};
+  auto value = longNumber(*given, own, min);
+  if (value > maxMilliseconds) fault(own, "must be at most " + std::to_string(maxMilliseconds));
+  return std::chrono::milliseconds{std::min(value, maxMilliseconds)};
 }
 
-std::string PlanReader::line(const Tree& tree, const std::string& key, const std::string& path) {
+std::string PlanReader::lineOfText(const Tree& tree, const std::string& key, const std::string& path) {
   auto text = tree.get<std::string>(key, "");
   bool plain = text.size() <= 256 && std::none_of(text.begin(), text.end(), [](unsigned char letter) {
                  return std::iscntrl(letter);
@@ -157,11 +157,11 @@
   return text;
 }
 
-std::string PlanReader::name(const std::string& text, const std::string& path, std::size_t most) {
-  bool plain = !text.empty() && text.size() <= most && std::all_of(text.begin(), text.end(), [](unsigned char letter) {
+std::string PlanReader::name(const std::string& text, const std::string& path, std::size_t maxLength) {
+  bool plain = !text.empty() && text.size() <= maxLength && std::all_of(text.begin(), text.end(), [](unsigned char letter) {
     return std::isalnum(letter) || letter == '-' || letter == '_' || letter == '.';
   });
-  if (!plain) fault(path, "a name has 1 to " + std::to_string(most) + " letters, digits, '-', '_' or '.'");
+  if (!plain) fault(path, "a name has 1 to " + std::to_string(maxLength) + " letters, digits, '-', '_' or '.'");
   return text;
 }
 
@@ -178,11 +178,11 @@
   return read;
 }
 
-void PlanReader::listed(const Tree& tree, const std::string& path, PlanService& service) {
+void PlanReader::readDatabases(const Tree& tree, const std::string& path, PlanService& service) {
   for (const auto& [key, child] : tree.get_child("databases")) {
     auto own = path + ".databases." + key;
     PlanDatabase database;
-    if (!keys(child, own, {"address", "cap"}, {"labels"})) continue;
+    if (!checkKeys(child, own, {"address", "cap"}, {"labels"})) continue;
     database.address = Address{child.get<std::string>("address")};
     if (!splitAddress(database.address)) fault(own + ".address", "must be of the form ip:port");
     database.cap = number(child.get_child("cap"), own + ".cap", 1, 100000);
@@ -194,18 +194,18 @@
 
 PlanService PlanReader::service(const Tree& tree, const std::string& path) {
   PlanService service;
-  if (!keys(tree, path, {"quota"}, {"databases", "discovery", "sync-replicas"})) return service;
+  if (!checkKeys(tree, path, {"quota"}, {"databases", "discovery", "sync-replicas"})) return service;
   auto discovery = tree.get_child_optional("discovery");
   service.discovered = discovery.has_value();
-  if (discovery && discovery->data() != "heartbeats" && discovery->data() != discoveryFormerly)
+  if (discovery && discovery->data() != "heartbeats" && discovery->data() != formerDiscoveryValue)
     fault(path + ".discovery", "must be heartbeats");
   if (discovery.has_value() == tree.get_child_optional("databases").has_value())
     fault(path + ".databases", "a service has databases or discovery, one of them");
   else if (!discovery)
-    listed(tree, path, service);
+    readDatabases(tree, path, service);
   if (auto given = tree.get_child_optional("sync-replicas")) service.syncReplicas = number(*given, path + ".sync-replicas", 0, 100);
   const auto& quota = tree.get_child("quota");
-  if (!keys(quota, path + ".quota", {"connections", "branches"}, {})) return service;
+  if (!checkKeys(quota, path + ".quota", {"connections", "branches"}, {})) return service;
   service.connections = number(quota.get_child("connections"), path + ".quota.connections", 1, 100000);
   for (const auto& [database, own] : service.databases)
     if (own.cap < service.connections) fault(path + ".quota.connections", "more than the cap of database " + database.get());
@@ -215,7 +215,7 @@
     auto own = path + ".quota.branches." + key;
     name(key, own);
     if (!seen.insert(key).second) fault(own, "duplicate name");
-    branch(child, own, 0, 1, seen, service);
+    readBranch(child, own, 0, 1, seen, service);
     sum += child.get<std::uint32_t>("connections", 0);
   }
   if (seen.empty()) fault(path + ".quota.branches", "must name at least one branch");
@@ -223,10 +223,10 @@
   return service;
 }
 
-void PlanReader::branch(const Tree& tree, const std::string& path, std::uint32_t order, std::uint32_t depth, std::set<std::string>& seen,
-                        PlanService& service) {
+void PlanReader::readBranch(const Tree& tree, const std::string& path, std::uint32_t order, std::uint32_t depth,
+                            std::set<std::string>& seen, PlanService& service) {
   if (depth > 8) return fault(path, "the tree is deeper than 8");
-  if (!keys(tree, path, {"connections"}, {"order", "floor", "takes", "branches"})) return;
+  if (!checkKeys(tree, path, {"connections"}, {"order", "floor", "takes", "branches"})) return;
   PlanBranch own;
   own.connections = number(tree.get_child("connections"), path + ".connections", 1, 100000);
   own.order = order;
@@ -245,7 +245,7 @@
     auto inner = path + ".branches." + key;
     name(key, inner);
     if (!seen.insert(key).second) fault(inner, "duplicate name");
-    branch(child, inner, own.order, depth + 1, seen, service);
+    readBranch(child, inner, own.order, depth + 1, seen, service);
     sum += child.get<std::uint32_t>("connections", 0);
   }
   if (children->empty()) fault(path + ".branches", "must name at least one branch");
@@ -254,8 +254,8 @@
 
 PlanKind PlanReader::kind(const Tree& tree, const std::string& path) {
   PlanKind kind;
-  if (!keys(tree, path, {"service", "consistency"},
-            {"branch", "machines", "databases", "labels", "staleness-ms", "statement-ms", "aim-ms", "order", "host", "prefix"}))
+  if (!checkKeys(tree, path, {"service", "consistency"},
+                 {"branch", "machines", "databases", "labels", "staleness-ms", "statement-ms", "aim-ms", "order", "host", "prefix"}))
     return kind;
   kind.service = ServiceName{tree.get<std::string>("service")};
   kind.branch = BranchName{tree.get<std::string>("branch", "")};
@@ -264,8 +264,8 @@
   kind.statementTimeout = duration(tree, "statement-ms", path, 1);
   kind.targetLatency = duration(tree, "aim-ms", path, 1);
   if (auto given = tree.get_child_optional("order")) kind.order = number(*given, path + ".order", 0, 1000);
-  kind.host = line(tree, "host", path);
-  kind.prefix = line(tree, "prefix", path);
+  kind.host = lineOfText(tree, "host", path);
+  kind.prefix = lineOfText(tree, "prefix", path);
   auto consistency = tree.get<std::string>("consistency");
   if (consistency == "primary")
     kind.consistency = Consistency::primary;
@@ -280,29 +280,29 @@
   return kind;
 }
 
-void PlanReader::placeKinds(Plan& plan) {
+void PlanReader::assignBranches(Plan& plan) {
   for (auto& [kindName, kind] : plan.kinds) {
     auto service = plan.services.find(kind.service);
     if (service == plan.services.end() || !kind.branch.get().empty()) continue;
-    std::vector<BranchName> taking;
+    std::vector<BranchName> matching;
     for (const auto& [name, branch] : service->second.branches)
       if (!branch.takes.empty() && std::includes(kind.labels.begin(), kind.labels.end(), branch.takes.begin(), branch.takes.end()))
-        taking.push_back(name);
-    if (taking.size() == 1)
-      kind.branch = taking.front();
+        matching.push_back(name);
+    if (matching.size() == 1)
+      kind.branch = matching.front();
     else
       fault("kinds." + kindName.get() + ".branch",
-            taking.empty() ? "missing, and no branch takes the kind's labels" : "missing, and several branches take the kind's labels");
+            matching.empty() ? "missing, and no branch takes the kind's labels" : "missing, and several branches take the kind's labels");
   }
 }
 
-void PlanReader::crossCheck(const Plan& plan) {
+void PlanReader::checkReferences(const Plan& plan) {
   std::map<Address, std::string> addresses;
   for (const auto& [serviceName, service] : plan.services)
     for (const auto& [databaseName, database] : service.databases) {
       auto path = "services." + serviceName.get() + ".databases." + databaseName.get();
-      auto [other, fresh] = addresses.emplace(database.address, path);
-      if (!fresh) fault(path + ".address", "also the address of " + other->second);
+      auto [other, inserted] = addresses.emplace(database.address, path);
+      if (!inserted) fault(path + ".address", "also the address of " + other->second);
     }
   for (const auto& [label, weight] : plan.weights)
     if (std::none_of(plan.machines.begin(), plan.machines.end(), [&](const auto& machine) {
@@ -333,12 +333,12 @@
   }
 }
 
-void PlanReader::hostsApart(const Plan& plan) {
+void PlanReader::checkHostsDistinct(const Plan& plan) {
   std::map<std::pair<std::string, std::string>, KindName> seen;
   for (const auto& [name, kind] : plan.kinds) {
     if (kind.host.empty()) continue;
-    auto [other, fresh] = seen.emplace(std::pair(kind.host, kind.prefix), name);
-    if (!fresh) fault("kinds." + name.get() + ".host", "host and prefix are also those of kind " + other->second.get());
+    auto [other, inserted] = seen.emplace(std::pair(kind.host, kind.prefix), name);
+    if (!inserted) fault("kinds." + name.get() + ".host", "host and prefix are also those of kind " + other->second.get());
   }
 }
 
--- a/src/control/plan_result.hpp
+++ b/src/control/plan_result.hpp
@@ -1,5 +1,7 @@
 #pragma once
 
+// Outcome of a new plan and its HTTP reply.
+
 #include <vector>
 
 #include "control/plan_fault.hpp"
@@ -8,26 +10,26 @@
 
 namespace tamarindshift {
 
-/// How an order of a configuration ended at the member that was asked.
+/// Outcome of ordering a plan at the member that received it.
 enum class PlanOutcome : std::uint8_t {
-  notOrdered,  ///< nothing was ordered: no primary component here, or the member leaves; send it again
-  unknown,     ///< it may still come into force; send the same again
-  broken,      ///< it cannot be read; `faults` say where
-  ordered,     ///< the log has it; `verdict` says what it did
+  notOrdered,  ///< nothing was ordered: no primary component, or the member is draining; safe to send again
+  unknown,     ///< the plan may still come into force; send the same plan again
+  broken,      ///< the plan is not valid; `faults` say where
+  ordered,     ///< the plan is in the log; `verdict` holds the result
 };
 
 struct PlanResult {
   PlanOutcome outcome = PlanOutcome::notOrdered;
   PlanVerdict verdict = PlanVerdict::broken;
   PlanVersion version;
-  /// The version in force at this member when the order ended.
+  /// The version in force at this member when the order completed.
   PlanVersion held;
-  /// Position of the order in the green order.
+  /// Position of the plan's action in the green order.
   std::uint64_t position = 0;
   std::vector<PlanFault> faults;
 };
 
-/// The reply of our own administration API to `PUT /plan`.
+/// The reply of the operator API to `PUT /plan`. `comeBack`: the retry interval given with temporary refusals.
 DoorReply planReply(const PlanResult& result, Duration comeBack);
 
 }  // namespace tamarindshift
--- a/src/control/plan_version_history.hpp
+++ b/src/control/plan_version_history.hpp
@@ -1,5 +1,7 @@
 #pragma once
 
+// Keeps the relation of plan versions to plan contents, so that all members judge a plan alike.
+
 #include <map>
 #include <string>
 
@@ -7,42 +9,42 @@
 
 namespace tamarindshift {
 
-/// 128 bits that identify the content of a configuration (a version 5 UUID, made with SHA-1).
+/// 128-bit digest of a plan text (a version 5 UUID, made with SHA-1).
 using ContentDigest = Strong<struct ContentDigestTag, std::string>;
 
-/// The digest of a configuration text. Equal texts have equal digests on every member.
+/// The digest of a plan text. Equal texts have equal digests on every member.
 ContentDigest contentDigest(const std::string& text);
 
-/// What the control state answers to a configuration that the log ordered.
+/// Result of applying an ordered plan to the control state.
 enum class PlanVerdict : std::uint8_t {
-  held = 0,       ///< it is in force, or it was in force before
-  overtaken = 1,  ///< a higher version was in force first; it alters nothing
-  conflict = 2,   ///< its version belongs to other content; it alters nothing
-  broken = 3,     ///< it cannot be read; it alters nothing
+  held = 0,       ///< the plan is in force, or was in force before
+  overtaken = 1,  ///< a higher version was in force first; nothing changed
+  conflict = 2,   ///< its version belongs to other content; nothing changed
+  broken = 3,     ///< the plan is not valid; nothing changed
 };
 
-/// The name of a verdict, as the log carries it to whoever ordered the configuration.
+/// The name of a verdict, as the result of the action returns it to the member that ordered the plan.
 const char* text(PlanVerdict verdict);
 
 /// The verdict of that name; `broken` for any other text.
 PlanVerdict planVerdictFromText(const std::string& text);
 
-/// Which content was ordered first under which version. It is part of the replicated control state, so all
-/// members judge alike, and one version never stands for two contents.
+/// Records which content was ordered first under each version. Part of the replicated control state, so that all
+/// members reach the same verdict and one version never stands for two contents.
 ///
 /// It holds the `maxVersions` highest versions. Versions at or below the highest one that was dropped count as overtaken,
-/// whatever their content, so that an order that was once applied is never refused for lack of memory.
+/// whatever their content, so that a plan that was applied once is never rejected because its entry was dropped.
 class PlanVersionHistory {
  public:
   static constexpr std::size_t maxVersions = 4096;
 
-  /// What is known of a content whatever its version, so that an order that is sent again need not be read again.
+  /// The verdict on a content that was recorded before; lets a plan that is sent again be answered without parsing it.
   std::optional<PlanVerdict> find(const ContentDigest& digest) const;
 
-  /// What is known of this version and content; nothing if the version has not been ordered yet.
+  /// The verdict on this version and content; nothing if the version has not been ordered yet.
   std::optional<PlanVerdict> verdict(PlanVersion version, const ContentDigest& digest) const;
 
-  /// Notes the first content of a version. `applied`: it came into force.
+  /// Records the first content of a version. `applied`: it came into force.
   void record(PlanVersion version, ContentDigest digest, bool applied);
 
   std::size_t size() const { return entries_.size(); }
--- a/src/control/replica_metrics.cpp
+++ b/src/control/replica_metrics.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-void engineFigures(MetricsText& page, const ReplicationEngine& engine) {
+void addEngineMetrics(MetricsText& page, const ReplicationEngine& engine) {
   page.gauge("engine_state", "The state of the replication engine.");
   page.sample({{"state", text(engine.state())}}, 1);
   page.gauge("members", "Members of the group, those that are away too.");
@@ -27,7 +27,7 @@
   page.sample({}, engine.diskFault() ? 1 : 0);
 }
 
-void serviceFigures(MetricsText& page, const ReplicaNode& replica) {
+void addServiceMetrics(MetricsText& page, const ReplicaNode& replica) {
   const auto& services = replica.state().services();
   page.gauge("epoch", "The epoch of the primary of a service.");
   for (const auto& [name, service] : services) page.sample({{"service", name.get()}}, static_cast<double>(service.epoch.get()));
@@ -42,7 +42,7 @@
 
 std::string replicaMetrics(ReplicaNode& replica, Instant now) {
   MetricsText page;
-  engineFigures(page, replica.engine());
+  addEngineMetrics(page, replica.engine());
   page.gauge("duty_holder", "Whether this member does the duties.");
   page.sample({}, replica.duties().onDuty() ? 1 : 0);
   page.gauge("lease_seconds", "What is left of the lease that this member passes on.");
@@ -52,7 +52,7 @@
   page.sample({}, replica.state().plan() ? static_cast<double>(replica.state().plan()->mark.get()) : 0);
   page.gauge("nodes", "Access nodes in the log.");
   page.sample({}, static_cast<double>(replica.state().nodes().size()));
-  serviceFigures(page, replica);
+  addServiceMetrics(page, replica);
   page.journal(replica.journal());
   return page.text();
 }
--- a/src/control/replica_metrics.hpp
+++ b/src/control/replica_metrics.hpp
@@ -6,7 +6,7 @@
 
 namespace tamarindshift {
 
-/// The figures of a replica as a page of metrics.
+/// The metrics page of a replica.
 std::string replicaMetrics(ReplicaNode& replica, Instant now);
 
 }  // namespace tamarindshift
--- a/src/control/replica_node.cpp
+++ b/src/control/replica_node.cpp
@@ -38,9 +38,9 @@
     auto fault = engine().diskFault();
     if (fault && !refused) {
       journal_.count("store.refusals");
-      journal_.line("the disk refuses writes, this member leaves the group until it takes them: " + *fault);
+      journal_.line("disk refuses writes; this member leaves the group until writes succeed again: " + *fault);
     }
-    if (!fault && refused) journal_.line("the disk takes writes again");
+    if (!fault && refused) journal_.line("disk accepts writes again");
     refused = fault.has_value();
     co_await sleep(clock_, settings_.timings.group.heartbeat);
   }
@@ -67,11 +67,11 @@
   });
 }
 
-void ReplicaNode::serveHeartbeats(const std::string& subject, Task<DoorReply> (ReplicaNode::*taken)(DatabaseHeartbeat)) {
-  desk_.serve(subject, [this, taken](Address, std::string body) -> Task<std::optional<std::string>> {
+void ReplicaNode::serveHeartbeats(const std::string& subject, Task<DoorReply> (ReplicaNode::*handler)(DatabaseHeartbeat)) {
+  desk_.serve(subject, [this, handler](Address, std::string body) -> Task<std::optional<std::string>> {
     auto heartbeat = unpacked<DatabaseHeartbeat>(body);
     if (!heartbeat) co_return std::nullopt;
-    auto reply = co_await (this->*taken)(*heartbeat);
+    auto reply = co_await (this->*handler)(*heartbeat);
     co_return packed(std::pair(reply.status, reply.body));
   });
 }
@@ -99,10 +99,10 @@
     return false;
   }
   const auto* before = reports_.database(heartbeat.service, heartbeat.database);
-  bool news = !before || before->heartbeat.role != heartbeat.role || before->heartbeat.leaving != heartbeat.leaving;
+  bool changed = !before || before->heartbeat.role != heartbeat.role || before->heartbeat.leaving != heartbeat.leaving;
   if (!reports_.recordHeartbeat(heartbeat, clock_.now(), settings_.timings.silence()))
     journal_.count("heartbeats.older");
-  else if (news)
+  else if (changed)
     duties_->wake();
   if (!relay) return true;
   auto bytes = packed(heartbeat);
@@ -118,17 +118,17 @@
 void ReplicaNode::drain() {
   if (drainingSince_) return;
   drainingSince_ = clock_.now();
-  journal_.line("leaves");
+  journal_.line("draining: this replica leaves the group and stops");
   scope_.spawn(handOver());
 }
 
-// in this order: the orders under way end, others hold all that was acknowledged here, the group goes on without
-// a member that it can spare, the others take over leadership and sequencing without waiting for a suspicion
+// In this order: orders in progress complete, others hold all that was acknowledged here, this member leaves the group if the
+// group can do without it, and the others take over leadership and sequencing without waiting for the suspicion time-out.
 Task<void> ReplicaNode::handOver() {
   auto deadline = *drainingSince_ + settings_.timings.orderPatience;
   auto pause = settings_.timings.group.heartbeat / 4;
   const auto& own = core_.own();
-  while (clock_.now() < deadline && (ordering_ > 0 || !MemberReplacement::othersHoldAll(engine(), own, settings_.toleratedLosses)))
+  while (clock_.now() < deadline && (ordersInProgress_ > 0 || !MemberReplacement::othersHoldAll(engine(), own, settings_.toleratedLosses)))
     co_await sleep(clock_, pause);
   if (MemberReplacement::spare(engine(), own, settings_.toleratedLosses)) engine().requestLeave(own);
   while (clock_.now() < deadline && MemberReplacement::spare(engine(), own, settings_.toleratedLosses)) co_await sleep(clock_, pause);
@@ -138,15 +138,15 @@
 
 bool ReplicaNode::stopped() const {
   if (!drainingSince_) return false;
-  // the others need a moment to hear of it
+  // The others need some time to receive the message that this member left.
   return handedOverAt_ && clock_.now() - *handedOverAt_ >= 2 * settings_.timings.group.heartbeat;
 }
 
 Task<OrderOutcome> ReplicaNode::order(ControlCommandType type, std::string body) {
-  ++ordering_;
+  ++ordersInProgress_;
   ControlCommand command{type, 0, std::move(body)};
   auto outcome = co_await engine().order(packed(command), clock_.now() + settings_.timings.orderPatience);
-  --ordering_;
+  --ordersInProgress_;
   co_return outcome;
 }
 
@@ -192,7 +192,7 @@
   return std::nullopt;
 }
 
-// the same call may come here once more after another member relayed it: what counts is the newest one known
+// The same call may arrive again after another member relayed it; the newest heartbeat held decides.
 bool ReplicaNode::isLeaving(const DatabaseHeartbeat& heartbeat) const {
   const auto* newest = reports_.database(heartbeat.service, heartbeat.database);
   return newest ? newest->heartbeat.leaving : heartbeat.leaving;
@@ -202,19 +202,20 @@
   auto comeBack = settings_.timings.comeBack;
   const auto* enrolled = state_.enrolled(heartbeat.service, heartbeat.database);
   bool departed = !enrolled && state_.departed(heartbeat.database);
-  bool late = reports_.isOutdated(heartbeat, clock_.now(), settings_.timings.silence());
+  bool outdated = reports_.isOutdated(heartbeat, clock_.now(), settings_.timings.silence());
   if (!departed && !recordHeartbeat(heartbeat, true)) co_return refusal(404, "no such database in the plan held here");
   bool listed = state_.hasListedDatabases(heartbeat.service);
-  bool fits = departed || late || listed || (enrolled && (heartbeat.address.get().empty() || enrolled->address == heartbeat.address));
-  bool drains = !departed && !listed && isLeaving(heartbeat) && !state_.drainMark(heartbeat.service, heartbeat.database);
-  if (!fits || drains) {
+  bool matchesEnrolment =
+      departed || outdated || listed || (enrolled && (heartbeat.address.get().empty() || enrolled->address == heartbeat.address));
+  bool mustDrain = !departed && !listed && isLeaving(heartbeat) && !state_.drainMark(heartbeat.service, heartbeat.database);
+  if (!matchesEnrolment || mustDrain) {
     if (auto refusal = orderingRefusal()) co_return *refusal;
   } else if (!leaseUntil(fleetTopic)) {
     co_return refusal(503, "not in a proved primary component", {}, comeBack);
   }
-  if (!fits)
+  if (!matchesEnrolment)
     if (auto refusal = co_await enrol(heartbeat)) co_return *refusal;
-  if (drains) {
+  if (mustDrain) {
     DatabaseCommand command{heartbeat.service, heartbeat.database, heartbeat.boot, heartbeat.number, false};
     auto outcome = co_await order(ControlCommandType::drainDatabase, packed(command));
     if (outcome.fate != OrderFate::green || outcome.reply != "held") co_return refusal(503, "not taken in time", "send it again", comeBack);
@@ -237,14 +238,14 @@
 Task<DoorReply> ReplicaNode::detach(DatabaseHeartbeat heartbeat) {
   heartbeat.leaving = true;
   bool listed = state_.hasListedDatabases(heartbeat.service);
-  bool enrols = !listed && !heartbeat.address.get().empty();
+  bool mayEnrol = !listed && !heartbeat.address.get().empty();
   if (!recordHeartbeat(heartbeat, true) && leaseUntil(fleetTopic)) co_return refusal(404, "no such database");
   auto comeBack = settings_.timings.comeBack;
   if (auto refusal = orderingRefusal()) co_return *refusal;
   DatabaseCommand command{heartbeat.service, heartbeat.database, heartbeat.boot, heartbeat.number, !listed};
   auto outcome = co_await order(ControlCommandType::drainDatabase, packed(command));
   if (outcome.fate != OrderFate::green) co_return refusal(503, "not taken in time", "send it again", comeBack);
-  if (outcome.reply != "held" && !enrols) co_return refusal(404, outcome.reply);
+  if (outcome.reply != "held" && !mayEnrol) co_return refusal(404, outcome.reply);
   co_return DoorReply{200, nlohmann::json{{"position", outcome.position}}.dump(), std::nullopt};
 }
 
--- a/src/control/replica_settings.hpp
+++ b/src/control/replica_settings.hpp
@@ -8,16 +8,21 @@
 
 namespace tamarindshift {
 
+/// Settings of a replica of the control plane.
 struct ReplicaSettings {
+  /// Address for other members and nodes.
   Address address;
   Zone zone;
+  /// Members that the replica contacts first.
   std::set<Address> seeds;
   Timings timings;
   EngineBounds bounds;
+  /// Whether the replica may form a new group with its seeds; only for the first start of the whole system.
   bool mayBootstrap = true;
-  // machines of the group that may be lost at once; 0 lets no member go by itself
+  /// Machines of the group that may fail at once; 0 never removes an absent member automatically.
   std::size_t toleratedLosses = 0;
-  // whether nodes are told which work a crowded database gets first; all replicas must know how (docs/operating.md)
+  /// Whether replicas ration connections of overloaded databases by precedence of the work. All replicas must support it
+  /// (docs/operating.md).
   bool rations = false;
 };
 
--- a/src/control/replica_status.cpp
+++ b/src/control/replica_status.cpp
@@ -11,10 +11,10 @@
 using Json = nlohmann::json;
 
 std::vector<std::string> texts(const std::vector<Address>& addresses) {
-  std::vector<std::string> read;
-  read.reserve(addresses.size());
-  for (const auto& address : addresses) read.push_back(address.get());
-  return read;
+  std::vector<std::string> converted;
+  converted.reserve(addresses.size());
+  for (const auto& address : addresses) converted.push_back(address.get());
+  return converted;
 }
 
 void addEngine(Json& json, const ReplicaNode& replica, Instant now) {
@@ -55,9 +55,9 @@
   for (const auto& [node, share] : service.reserved)
     for (const auto& [branch, amount] : share.connections) own["reserved"][node.get()][branch.get()] = amount;
   for (const auto& [database, ration] : service.rations) {
-    auto& told = own["rations"][database.get()];
-    told["free_through"] = ration.freeThrough;
-    for (const auto& [node, amount] : ration.later) told["later"][node.get()] = amount;
+    auto& entry = own["rations"][database.get()];
+    entry["free_through"] = ration.freeThrough;
+    for (const auto& [node, amount] : ration.later) entry["later"][node.get()] = amount;
   }
   for (const auto& sign : replica.reports().signs(name, now))
     own["databases"][sign.database] = {{"role", sign.role},
@@ -77,17 +77,17 @@
 }
 
 void addNodes(Json& json, const ReplicaNode& replica, Instant now) {
-  const auto& heard = replica.reports().nodes();
+  const auto& reporting = replica.reports().nodes();
   for (const auto& [address, node] : replica.state().nodes()) {
     auto& own = json["nodes"][address.get()];
     own = {{"zone", node.zone.get()}, {"draining", node.draining}};
-    auto known = heard.find(address);
-    if (known == heard.end()) continue;
+    auto known = reporting.find(address);
+    if (known == reporting.end()) continue;
     own["heard_ms_ago"] = milliseconds(now - known->second.lastContact).count();
     own["plan_mark"] = known->second.report.mark.get();
     own["lease_ms"] = milliseconds(known->second.report.lease).count();
   }
-  for (const auto& [address, node] : heard)
+  for (const auto& [address, node] : reporting)
     if (!replica.state().nodes().contains(address))
       json["unregistered"][address.get()] = {{"zone", node.report.zone.get()},
                                              {"heard_ms_ago", milliseconds(now - node.lastContact).count()}};
--- a/src/control/replica_status.hpp
+++ b/src/control/replica_status.hpp
@@ -6,7 +6,7 @@
 
 namespace tamarindshift {
 
-// what an operator sees of a replica, made when it is asked for
+/// The reply to GET /status: engine, members, services, databases and nodes as this replica knows them.
 nlohmann::json replicaStatus(const ReplicaNode& replica, Instant now);
 
 }  // namespace tamarindshift
--- a/src/control/report_tables.cpp
+++ b/src/control/report_tables.cpp
@@ -29,16 +29,16 @@
       return changed = true;
     });
   for (auto& [service, own] : report.services) {
-    auto [before, fresh] = services.try_emplace(service, own);
-    if (fresh || !sameBoot ||
+    auto [before, inserted] = services.try_emplace(service, own);
+    if (inserted || !sameBoot ||
         std::tie(before->second.appliedPosition, before->second.connectionDemand) != std::tie(own.appliedPosition, own.connectionDemand))
       ++shareInputsVersion_[service];
-    changed = changed || fresh ||
+    changed = changed || inserted ||
               std::tie(before->second.epoch, before->second.appliedPosition, before->second.suspects, before->second.strained) !=
                   std::tie(own.epoch, own.appliedPosition, own.suspects, own.strained);
     auto& acknowledged = acknowledged_[service];
     acknowledged = std::max(acknowledged, own.acknowledged);
-    if (!fresh) before->second = std::move(own);
+    if (!inserted) before->second = std::move(own);
   }
   report.services = std::move(services);
   report.full = true;
@@ -54,8 +54,8 @@
 bool ReportTables::isOutdated(const DatabaseHeartbeat& heartbeat, Instant now, Duration silence) const {
   const auto* held = database(heartbeat.service, heartbeat.database);
   if (!held) return false;
-  bool mayStartAgain = heartbeat.boot == 0 && now - held->lastContact > bootlessRestartSilence;
-  bool repeated = held->heartbeat.boot == heartbeat.boot && heartbeat.number <= held->heartbeat.number && !mayStartAgain;
+  bool mayRestartNumbers = heartbeat.boot == 0 && now - held->lastContact > bootlessRestartSilence;
+  bool repeated = held->heartbeat.boot == heartbeat.boot && heartbeat.number <= held->heartbeat.number && !mayRestartNumbers;
   bool olderBoot = heartbeat.boot < held->heartbeat.boot && now - held->lastContact <= silence;
   return repeated || olderBoot;
 }
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::vector<std::string> loseDiskAt(Duration offset, std::size_t lost, bool restart) {
+std::vector<std::string> faultsAfterDiskLoss(Duration offset, std::size_t lost, bool restart) {
   FleetShape shape;
   shape.machines = 1;
   SimulatedFleet fleet(shape, 3);
@@ -35,11 +35,11 @@
 
 }  // namespace
 
-TEST_CASE("a plan outlives any one disk, lost at any point of its acknowledgement") {
+TEST_CASE("an acknowledged plan survives the loss of any one disk at any point of its acknowledgement") {
   for (auto offset = Duration{0}; offset <= 12ms; offset += 500us)
     for (std::size_t lost = 0; lost < 3; ++lost)
       for (bool restart : {false, true}) {
-        auto faults = loseDiskAt(offset, lost, restart);
+        auto faults = faultsAfterDiskLoss(offset, lost, restart);
         INFO("offset " << offset.count() << " lost " << lost << " restart " << restart);
         for (const auto& fault : faults) UNSCOPED_INFO(fault);
         REQUIRE(faults.empty());
--- a/tests/awaited_commits_test.cpp
+++ b/tests/awaited_commits_test.cpp
@@ -12,7 +12,7 @@
 struct LostPrimary : DiscoveredCluster {
   explicit LostPrimary(Position acknowledged = Position{100}) : DiscoveredCluster(1) {
     own().hasRecentWork = true;
-    databases.at("d2").place.position = Position{100};
+    databases.at("d2").logEnd.position = Position{100};
     own().acknowledged = LogPosition{Epoch{3}, acknowledged};
     run(200ms);
   }
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -204,7 +204,7 @@
   CHECK(cluster.service().plannedSwitchover);
   cluster.run(600ms);
   CHECK(former.demotedWith.empty());
-  former.place.position = Position{120};
+  former.logEnd.position = Position{120};
   cluster.follows = true;
   REQUIRE(cluster.runUntil(1s, [&] {
     return !former.demotedWith.empty();
@@ -212,7 +212,7 @@
   CHECK(former.demotedWith.front() == Epoch{4});
   cluster.run(400ms);
   CHECK(cluster.databases.at("d2").promoteCalls == 0);
-  cluster.databases.at("d2").place.position = Position{120};
+  cluster.databases.at("d2").logEnd.position = Position{120};
   auto since = cluster.world.now();
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.promoted("d2");
@@ -266,7 +266,7 @@
   CHECK_FALSE(cluster.runUntil(5s, [&] {
     return cluster.databases.at("d2").promoteCalls + cluster.databases.at("d3").promoteCalls > 0;
   }));
-  cluster.databases.at("d3").place.position = Position{99};
+  cluster.databases.at("d3").logEnd.position = Position{99};
   REQUIRE(cluster.runUntil(8s, [&] {
     return cluster.promoted("d3");
   }));
--- a/tests/former_primary_test.cpp
+++ b/tests/former_primary_test.cpp
@@ -18,7 +18,7 @@
       return promoted("d2");
     }));
     run(1s);
-    for (const char* name : {"d2", "d3"}) databases.at(name).newestTerm = databases.at("d2").place.epoch;
+    for (const char* name : {"d2", "d3"}) databases.at(name).newestTerm = databases.at("d2").logEnd.epoch;
   }
 
   // the former primary is reached again and still says that it leads, the next one crashes
@@ -57,7 +57,7 @@
   REQUIRE(cluster.promotedWhileTelling(15s));
   const auto& former = cluster.databases.at("d1");
   CHECK(former.promoteCalls == 1);
-  CHECK(former.ledAt > former.promotedAt);
+  CHECK(former.becamePrimaryAt > former.promoteCalledAt);
   CHECK(former.term() > cluster.databases.at("d2").term());
   CHECK(cluster.service().confirmedTerm == former.term());
 }
--- a/tests/invariant_checks_test.cpp
+++ b/tests/invariant_checks_test.cpp
@@ -1,4 +1,4 @@
-// Each invariant that is not about sending is seen to hold for what is sound and to notice its rule broken.
+// Each invariant check, other than those on sending, must accept correct events and report a violation of its rule.
 
 #include <catch2/catch.hpp>
 
@@ -14,13 +14,13 @@
 
 const Instant noon{Duration{12h}};
 
-std::string somewhere() {
+std::string context() {
   return "'7' of r1";
 }
 
 }  // namespace
 
-TEST_CASE("invariants: a kept write acknowledged without a lease or in another epoch is noticed") {
+TEST_CASE("invariants: a write that is acknowledged without a lease or in another epoch is reported") {
   CheckTrial trial;
   AcknowledgementFacts facts;
   facts.keepsSomething = true;
@@ -41,20 +41,20 @@
   CHECK(trial.checked(Invariant::acknowledgedUnderLease) == 3);
 }
 
-TEST_CASE("invariants: a statement that is held past its bound is noticed") {
+TEST_CASE("invariants: a statement that is held past its bound is reported") {
   CheckTrial trial;
-  checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 1200ms, noon + 800ms}, somewhere);
+  checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 1200ms, noon + 800ms}, context);
   CHECK(trial.violations() == 0);
-  checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 9s, Instant::max()}, somewhere);
-  checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 9s, noon + 800ms, true}, somewhere);
+  checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 9s, Instant::max()}, context);
+  checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 9s, noon + 800ms, true}, context);
   CHECK(trial.violations() == 0);
-  checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 1301ms, noon + 800ms}, somewhere);
+  checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 1301ms, noon + 800ms}, context);
   CHECK(trial.violations() == 1);
   REQUIRE(trial.lines.size() == 1);
   CHECK(trial.lines.front().find("'7' of r1 was held for 1301 ms") != std::string::npos);
 }
 
-TEST_CASE("invariants: shares that sum past the cap of a branch are noticed, granted and reserved ones together") {
+TEST_CASE("invariants: granted and reserved shares that together exceed the connections of a branch are reported") {
   CheckTrial trial;
   const BranchName work{"work"};
   const ServiceName name{"s1"};
@@ -64,49 +64,49 @@
   service.grants[Address{"10.1.0.1:1"}][work] = 4;
   service.grants[Address{"10.1.0.2:1"}][work] = 3;
   service.reserved[Address{"10.1.0.3:1"}].connections[work] = 3;
-    service.grants[Address{"10.1.0.2:1"}][BranchName{"removed"}] = 30;
-    checkSharesWithinBranches(trial.journal, name, planned, service);
-    CHECK(trial.violations() == 0);
-    CHECK(trial.checked(Invariant::sharesWithinBranch) == 1);
-    SECTION("granted") {
-      service.grants[Address{"10.1.0.2:1"}][work] = 4;
-    }
-    SECTION("reserved") {
+  service.grants[Address{"10.1.0.2:1"}][BranchName{"removed"}] = 30;
+  checkSharesWithinBranches(trial.journal, name, planned, service);
+  CHECK(trial.violations() == 0);
+  CHECK(trial.checked(Invariant::sharesWithinBranch) == 1);
+  SECTION("granted") {
+    service.grants[Address{"10.1.0.2:1"}][work] = 4;
+  }
+  SECTION("reserved") {
     service.reserved[Address{"10.1.0.3:1"}].connections[work] = 4;
   }
   SECTION("a smaller cap") {
-        planned.branches[work].connections = 9;
+    planned.branches[work].connections = 9;
   }
   checkSharesWithinBranches(trial.journal, name, planned, service);
   CHECK(trial.violations() == 1);
   CHECK(trial.violated(Invariant::sharesWithinBranch) == 1);
-    }
+}
 
-    TEST_CASE("invariants: a fence that falls, or a call by a node without duties, is noticed") {
-      CheckTrial trial;
-      DutyEpochCheck fences(trial.journal);
-      fences.note(3, true);
-      fences.note(3, true);
-      fences.note(5, true);
-      CHECK(trial.violations() == 0);
-      fences.note(4, true);
-      CHECK(trial.violations() == 1);
-      fences.note(5, false);
-      CHECK(trial.violations() == 1);
-      fences.note(5, true);
-      CHECK(trial.violations() == 0);
-      CHECK(trial.violated(Invariant::dutyEpochNeverFalls) == 2);
-    }
+TEST_CASE("invariants: a fencing token that falls, or a call by a node that is not on duty, is reported") {
+  CheckTrial trial;
+  DutyEpochCheck tokens(trial.journal);
+  tokens.note(3, true);
+  tokens.note(3, true);
+  tokens.note(5, true);
+  CHECK(trial.violations() == 0);
+  tokens.note(4, true);
+  CHECK(trial.violations() == 1);
+  tokens.note(5, false);
+  CHECK(trial.violations() == 1);
+  tokens.note(5, true);
+  CHECK(trial.violations() == 0);
+  CHECK(trial.violated(Invariant::dutyEpochNeverFalls) == 2);
+}
 
-    TEST_CASE("invariants: a version that goes back is noticed once for each time") {
-      CheckTrial trial;
-      PlanVersionCheck versions(trial.journal);
-      CHECK_FALSE(versions.note(PlanVersion{4}));
-      CHECK(versions.note(PlanVersion{4}));
-      CHECK_FALSE(versions.note(PlanVersion{9}));
-      CHECK(trial.violations() == 0);
-      versions.note(PlanVersion{8});
-      CHECK(trial.violations() == 1);
-      versions.note(PlanVersion{8});
-      CHECK(trial.violations() == 0);
-    }
+TEST_CASE("invariants: a plan version that goes back is reported once for each time") {
+  CheckTrial trial;
+  PlanVersionCheck versions(trial.journal);
+  CHECK_FALSE(versions.note(PlanVersion{4}));
+  CHECK(versions.note(PlanVersion{4}));
+  CHECK_FALSE(versions.note(PlanVersion{9}));
+  CHECK(trial.violations() == 0);
+  versions.note(PlanVersion{8});
+  CHECK(trial.violations() == 1);
+  versions.note(PlanVersion{8});
+  CHECK(trial.violations() == 0);
+}
--- a/tests/large_changes_test.cpp
+++ b/tests/large_changes_test.cpp
@@ -1,4 +1,4 @@
-// Hundreds of changes of a large configuration: what members keep and send stays within bounds of bytes.
+// Hundreds of changes of a large plan: the bytes that members keep and send stay bounded.
 
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr std::size_t configurationBytes = 78'000;
+constexpr std::size_t annotationBytes = 78'000;
 
 struct LargeChanges : ControlCluster {
-  void apart(std::size_t member, bool cut) {
+  void setPartitioned(std::size_t member, bool cut) {
     auto own = "10.0.0." + std::to_string(member + 1);
     for (std::size_t other = 0; other < 3; ++other) {
       if (other == member) continue;
@@ -28,13 +28,13 @@
     nlohmann::json plan{{"mark", ++mark},
                         {"services", nlohmann::json::object()},
                         {"kinds", nlohmann::json::object()},
-                        {"annotation", std::string(configurationBytes, static_cast<char>('a' + mark % 26))}};
+                        {"annotation", std::string(annotationBytes, static_cast<char>('a' + mark % 26))}};
     auto reply = ask(replica(member).replacePlan(plan.dump()));
     INFO(reply.body);
     REQUIRE(reply.status == 200);
   }
 
-  bool level(std::size_t member) {
+  bool isCurrent(std::size_t member) {
     const auto& plan = replica(member).state().plan();
     return plan && plan->mark == PlanVersion{mark} && replica(member).engine().state() == EngineState::regPrim;
   }
@@ -44,38 +44,38 @@
 
 }  // namespace
 
-TEST_CASE("a member that comes back after hundreds of large changes is caught up with few bytes") {
-  auto away = GENERATE(0, 1, 2);
+TEST_CASE("a member that returns after hundreds of large changes catches up with few bytes") {
+  auto absent = GENERATE(0, 1, 2);
   auto changes = GENERATE(60, 400);
-  CAPTURE(away, changes);
+  CAPTURE(absent, changes);
   LargeChanges cluster;
   cluster.change(0);
-  auto member = static_cast<std::size_t>(away);
-  cluster.apart(member, true);
+  auto member = static_cast<std::size_t>(absent);
+  cluster.setPartitioned(member, true);
   cluster.run(3s);
   for (int number = 0; number < changes; ++number) cluster.change((member + 1 + static_cast<std::size_t>(number) % 2) % 3);
   EngineBounds bounds;
   for (std::size_t each = 0; each < 3; ++each) CHECK(cluster.replica(each).engine().greenKeptBytes() <= bounds.greenKeptBytes);
   auto before = cluster.network.passedBytes();
-  cluster.apart(member, false);
+  cluster.setPartitioned(member, false);
   REQUIRE(cluster.runUntil(5s, [&] {
-    return cluster.level(0) && cluster.level(1) && cluster.level(2);
+    return cluster.isCurrent(0) && cluster.isCurrent(1) && cluster.isCurrent(2);
   }));
-  // one copy to each of two members, and what was submitted
+  // One copy to each of two members, and the submitted orders.
   CHECK(cluster.network.passedBytes() - before < 3 * bounds.greenKeptBytes);
   cluster.change(0);
   cluster.run(1s);
-  CHECK((cluster.level(0) && cluster.level(1) && cluster.level(2)));
+  CHECK((cluster.isCurrent(0) && cluster.isCurrent(1) && cluster.isCurrent(2)));
 }
 
-TEST_CASE("what members keep does not grow with changes that one of them orders while all are up") {
+TEST_CASE("the bytes that members keep do not grow with changes ordered while all members are up") {
   LargeChanges cluster;
   for (int number = 0; number < 200; ++number) cluster.change(0);
   EngineBounds bounds;
   for (std::size_t each = 0; each < 3; ++each) CHECK(cluster.replica(each).engine().greenKeptBytes() <= bounds.greenKeptBytes);
 }
 
-TEST_CASE("orders beyond the bytes that may wait are refused at once, and taken again afterwards") {
+TEST_CASE("orders beyond the waiting bytes limit are refused at once, and accepted again afterwards") {
   EngineCluster cluster(3, 5);
   cluster.padding = 100'000;
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
@@ -93,7 +93,7 @@
   CHECK(cluster.faults.empty());
 }
 
-TEST_CASE("an order larger than the bytes that may wait is taken where nothing else waits") {
+TEST_CASE("an order larger than the waiting bytes limit is accepted if nothing else waits") {
   EngineCluster cluster(3, 6);
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(3s);
@@ -103,7 +103,7 @@
   CHECK(cluster.acknowledged.size() == 1);
 }
 
-TEST_CASE("what a member has not received is sent again in small parts") {
+TEST_CASE("messages that a member has not received are resent in small parts") {
   EngineCluster cluster(3, 7);
   cluster.padding = 100'000;
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
@@ -114,7 +114,7 @@
   for (std::size_t number = 0; number < orders; ++number) cluster.submit(0);
   cluster.run(450ms);
   auto once = 2 * orders * cluster.padding;
-  // five heartbeats at most, each with a part of a mebibyte and one order more
+  // At most five heartbeats, each with a part of one mebibyte and one more order.
   CHECK(cluster.network.passedBytes() - before < once + 5 * ((1u << 20) + 2 * cluster.padding));
   cluster.network.healAll();
   cluster.run(3s);
--- a/tests/operator_api_test.cpp
+++ b/tests/operator_api_test.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-struct OneCore : FleetTrial {
-  OneCore() : FleetTrial(shape()) { sendFirstPlan(3s); }
+struct ApiTrial : FleetTrial {
+  ApiTrial() : FleetTrial(shape()) { sendFirstPlan(3s); }
   static FleetShape shape() {
     auto shape = machines(2);
     CallerKind kind;
@@ -19,7 +19,7 @@
   DoorReply ask(std::size_t replica, const std::string& method, const std::string& path, const std::string& body = {}) {
     return FleetTrial::ask(*fleet.replicas()[replica]->door, DoorRequest{method, path, body, ConnectionId{7}});
   }
-  std::uint64_t counted(std::size_t replica, const std::string& name) {
+  std::uint64_t counter(std::size_t replica, const std::string& name) {
     const auto& counters = fleet.replicas()[replica]->journal->counters();
     auto found = counters.find(name);
     return found == counters.end() ? 0 : found->second;
@@ -30,7 +30,7 @@
     heartbeat.update(changes);
     return heartbeat.dump();
   }
-  void cutOff(std::size_t replica) {
+  void partition(std::size_t replica) {
     for (std::size_t other = 0; other < 3; ++other) {
       if (other == replica) continue;
       fleet.network().cut(fleet.replicas()[replica]->host, fleet.replicas()[other]->host);
@@ -41,10 +41,10 @@
 
 }  // namespace
 
-TEST_CASE("a replica that is cut off does not show an old plan as the one held") {
-  OneCore core;
+TEST_CASE("a replica that is partitioned from the group does not return an old plan as the current one") {
+  ApiTrial core;
   CHECK(Json::parse(core.ask(2, "GET", "/plan").body).at("mark") == 1);
-  core.cutOff(2);
+  core.partition(2);
   core.fleet.run(3s);
   core.fleet.sendPlan(0, 2, core.fleet.planText(StandinPlanChoice{2}), true);
   core.fleet.run(2s);
@@ -54,10 +54,10 @@
   CHECK(reply.comeBack);
 }
 
-TEST_CASE("heartbeats and Detaches that make no sense have a status and no effect") {
-  OneCore core;
+TEST_CASE("malformed, unplanned and outdated heartbeats and Detaches get a status and have no effect") {
+  ApiTrial core;
   auto green = core.fleet.replicas()[0]->node->engine().greenLine();
-  auto unplanned = core.counted(0, "heartbeats.unplanned");
+  auto unplanned = core.counter(0, "heartbeats.unplanned");
   for (const char* path : {"/heartbeat", "/detach"}) {
     CHECK(core.ask(0, "POST", path, core.heartbeat({{"service", "unheard-of"}})).status == 404);
     CHECK(core.ask(0, "POST", path, core.heartbeat({{"database", "unheard-of"}})).status == 404);
@@ -68,13 +68,14 @@
     CHECK(core.ask(0, "POST", path, "{").status == 400);
     CHECK(core.ask(0, "POST", path, "[]").status == 400);
   }
-  CHECK(core.counted(0, "heartbeats.unplanned") == unplanned + 4);
-  CHECK(core.counted(0, "heartbeats.malformed") == 18);
+  CHECK(core.counter(0, "heartbeats.unplanned") == unplanned + 4);
+  CHECK(core.counter(0, "heartbeats.malformed") == 18);
   CHECK(core.fleet.replicas()[0]->node->engine().greenLine() == green);
-  auto held = core.fleet.replicas()[0]->node->reports().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat;
-  CHECK(core.ask(0, "POST", "/heartbeat", core.heartbeat({{"boot", held.boot - 1}, {"number", 1000}, {"position", 999}})).status == 200);
-  CHECK(core.ask(0, "POST", "/heartbeat", core.heartbeat({{"boot", held.boot}, {"number", held.number}, {"position", 999}})).status == 200);
-  CHECK(core.counted(0, "heartbeats.older") >= 2);
+  auto newest = core.fleet.replicas()[0]->node->reports().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat;
+  CHECK(core.ask(0, "POST", "/heartbeat", core.heartbeat({{"boot", newest.boot - 1}, {"number", 1000}, {"position", 999}})).status == 200);
+  CHECK(core.ask(0, "POST", "/heartbeat", core.heartbeat({{"boot", newest.boot}, {"number", newest.number}, {"position", 999}})).status ==
+        200);
+  CHECK(core.counter(0, "heartbeats.older") >= 2);
   CHECK(core.fleet.replicas()[0]->node->reports().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat.position < Position{999});
   CHECK(core.ask(0, "POST", "/heartbeat",
                  core.heartbeat({{"boot", ~0ull}, {"number", ~0ull}, {"epoch", ~0ull}, {"position", ~0ull}, {"contact_age_ms", ~0ull}}))
@@ -86,8 +87,8 @@
   CHECK(core.ask(0, "GET", "/members/10.0.0.1:1").status == 405);
 }
 
-TEST_CASE("messages cut off, of the wrong kind or of noise change nothing between processes") {
-  OneCore core;
+TEST_CASE("truncated, misdirected and random messages between processes have no effect") {
+  ApiTrial core;
   auto& network = core.fleet.network();
   auto& world = core.fleet.world();
   std::vector<Address> processes;
@@ -100,13 +101,13 @@
       Matter::groupHeartbeat, Matter::groupSubmit,  Matter::groupOrdered, Matter::groupAcked, Matter::groupSafe,
       Matter::groupPrepare,   Matter::groupFlushed, Matter::groupInstall, Matter::joinAsk,    Matter::joinSnapshot,
       Matter::leftNotice,     Matter::ask,          Matter::reply,        Matter{99}};
-  auto whole = packed(std::tuple(std::string("follow"), std::uint64_t{7}, std::vector<std::string>{"a", "b"}));
+  auto message = packed(std::tuple(std::string("follow"), std::uint64_t{7}, std::vector<std::string>{"a", "b"}));
   for (int round = 0; round < 4000; ++round) {
     const auto& from = processes[world.below(processes.size())];
     const auto& to = processes[world.below(processes.size())];
     std::string body;
     if (world.below(2) == 0)
-      body = whole.substr(0, world.below(whole.size()));
+      body = message.substr(0, world.below(message.size()));
     else
       for (auto size = world.below(40); size > 0; --size) body.push_back(static_cast<char>(world.below(256)));
     network.pass(from, to, Envelope{matters[world.below(matters.size())], body});
@@ -118,5 +119,5 @@
   auto done = core.fleet.callers().operations().size();
   core.fleet.run(2s);
   CHECK(core.fleet.callers().operations().size() > done + 20);
-  CHECK(core.counted(0, "group.unreadable") > 0);
+  CHECK(core.counter(0, "group.unreadable") > 0);
 }
--- a/tests/plan_entries_test.cpp
+++ b/tests/plan_entries_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::string planOf(int mark, const std::string& kinds) {
+std::string planText(int mark, const std::string& kinds) {
   return R"({"mark":)" + std::to_string(mark) + R"(,"services":{
 "s1":{"discovery":"heartbeats","quota":{"connections":10,"branches":{"work":{"connections":10,"order":1}}}},
 "s2":{"discovery":"heartbeats","quota":{"connections":10,"branches":{"work":{"connections":10,"order":1}}}}},
@@ -21,7 +21,7 @@
 
 struct Replica {
   Replica() : state(board) {}
-  void take(const std::string& plan) {
+  void apply(const std::string& plan) {
     Action action;
     action.update = packed(ControlCommand{ControlCommandType::plan, 0, packed(PlanCommand{plan})});
     CHECK(state.applyGreen(action, ++position) == "held");
@@ -41,22 +41,22 @@
 
 }  // namespace
 
-TEST_CASE("plan news: a new plan tells a service that it leaves as it was little more than its mark") {
+TEST_CASE("plan entries: a new plan sends a service that it does not change little more than its version") {
   Replica replica;
-  auto held = kind("k2", "s2", 800) + "," + kind("k3", "s2", 900);
-  replica.take(planOf(1, kind("k1", "s1", 800) + "," + held));
+  auto unchanged = kind("k2", "s2", 800) + "," + kind("k3", "s2", 900);
+  replica.apply(planText(1, kind("k1", "s1", 800) + "," + unchanged));
   auto before = replica.position;
-  replica.take(planOf(2, kind("k1", "s1", 700) + "," + held));
+  replica.apply(planText(2, kind("k1", "s1", 700) + "," + unchanged));
   CHECK(replica.bytesSince(fleetTopic, before) <= 8);
   CHECK(replica.bytesSince("s2", before) <= 8);
   CHECK(replica.bytesSince("s1", before) > 8);
   CHECK(replica.board.mark("s2") == replica.position);
 }
 
-TEST_CASE("plan news: followers that get the changes hold what those that start anew get") {
+TEST_CASE("plan entries: subscribers that receive changes hold the same table as new subscribers") {
   Replica replica;
-  NewsBoard follower;
-  auto follow = [&](NewsBoard& board, const Topic& topic) {
+  NewsBoard subscriber;
+  auto update = [&](NewsBoard& board, const Topic& topic) {
     TopicReply reply;
     replica.board.fill(topic, board.mark(topic), reply);
     CHECK(board.apply(topic, reply));
@@ -65,10 +65,10 @@
   int mark = 0;
   for (const auto& kinds : {kind("k1", "s1", 800) + "," + kind("k2", "s2", 800), kind("k1", "s1", 800), kind("k1", "s2", 800),
                             kind("k4", "s1", 1) + "," + kind("k1", "s2", 5)}) {
-    replica.take(planOf(++mark, kinds));
+    replica.apply(planText(++mark, kinds));
     for (const auto& topic : {fleetTopic, Topic{"s1"}, Topic{"s2"}}) {
       NewsBoard fresh;
-      CHECK(follow(follower, topic) == follow(fresh, topic));
+      CHECK(update(subscriber, topic) == update(fresh, topic));
     }
   }
 }
--- a/tests/plan_test.cpp
+++ b/tests/plan_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-Json sound() {
+Json validPlan() {
   return Json::parse(R"({"mark":4,
     "services":{"s1":{"databases":{"d1":{"address":"10.0.0.1:1","cap":60,"labels":["big"]},"d2":{"address":"10.0.0.2:1","cap":60}},
       "quota":{"connections":50,"branches":{"counter":{"connections":30,"order":1,"floor":2},
@@ -24,7 +24,7 @@
       "lookup":{"service":"s1","branch":"lookups","consistency":"lookups","machines":["new"],"databases":["big"]}}})");
 }
 
-bool faulted(const Json& plan, const std::string& path) {
+bool hasFault(const Json& plan, const std::string& path) {
   PlanReader reader;
   auto read = reader.read(plan.dump());
   for (const auto& fault : reader.faults()) UNSCOPED_INFO(fault.path << ": " << fault.reason);
@@ -35,8 +35,8 @@
 
 }  // namespace
 
-TEST_CASE("a sound plan is read whole") {
-  auto plan = PlanReader{}.read(sound().dump());
+TEST_CASE("a valid plan is read completely") {
+  auto plan = PlanReader{}.read(validPlan().dump());
   REQUIRE(plan);
   CHECK(plan->mark == PlanVersion{4});
   const auto& service = plan->services.at(ServiceName{"s1"});
@@ -47,105 +47,105 @@
   CHECK(plan->kinds.at(KindName{"lookup"}).consistency == Consistency::lookups);
 }
 
-TEST_CASE("a broken plan is refused with the path of each fault") {
+TEST_CASE("an invalid plan is rejected with the path of each fault") {
   auto broken = [](auto&& change) {
-    auto plan = sound();
+    auto plan = validPlan();
     change(plan);
     return plan;
   };
   auto& quota = "services.s1.quota";
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["surprise"] = 1;
-                }),
-                "surprise"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan.erase("kinds");
-                }),
-                "kinds"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["mark"] = "four";
-                }),
-                "mark"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["mark"] = 0;
-                }),
-                "mark"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["mark"] = "4";
-                }),
-                "mark"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["services"]["s1"]["databases"]["d1"]["cap"] = true;
-                }),
-                "services.s1.databases.d1.cap"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["kinds"]["lookup"]["service"] = 1;
-                }),
-                "kinds.lookup.service"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["services"]["s1"]["quota"]["branches"]["counter"]["connections"] = 40;
-                }),
-                std::string(quota) + ".branches"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["services"]["s1"]["quota"]["branches"]["low"]["branches"]["status"]["connections"] = 9;
-                }),
-                std::string(quota) + ".branches.low.branches"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["services"]["s1"]["quota"]["connections"] = 61;
-                }),
-                std::string(quota) + ".connections"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["weights"]["fast"] = 0;
-                }),
-                "weights.fast"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["services"]["s1"]["databases"]["d1"]["cap"] = -1;
-                }),
-                "services.s1.databases.d1.cap"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["services"]["s1"]["databases"]["d2"]["address"] = "10.0.0.1:1";
-                }),
-                "services.s1.databases.d2.address"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["services"]["s1"]["databases"]["d1"]["address"] = "nowhere";
-                }),
-                "services.s1.databases.d1.address"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["kinds"]["lookup"]["machines"] = {"gone"};
-                }),
-                "kinds.lookup.machines"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["kinds"]["lookup"]["databases"] = {"gone"};
-                }),
-                "kinds.lookup.databases"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["kinds"]["lookup"]["branch"] = "low";
-                }),
-                "kinds.lookup.branch"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["kinds"]["lookup"]["service"] = "s2";
-                }),
-                "kinds.lookup.service"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["kinds"]["counter"].erase("branch");
-                }),
-                "kinds.counter.branch"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["kinds"]["lookup"]["consistency"] = "soon";
-                }),
-                "kinds.lookup.consistency"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["weights"]["gone"] = 2;
-                }),
-                "weights.gone"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["services"] = 7;
-                }),
-                "services"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["surprise"] = 1;
+                 }),
+                 "surprise"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan.erase("kinds");
+                 }),
+                 "kinds"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["mark"] = "four";
+                 }),
+                 "mark"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["mark"] = 0;
+                 }),
+                 "mark"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["mark"] = "4";
+                 }),
+                 "mark"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["services"]["s1"]["databases"]["d1"]["cap"] = true;
+                 }),
+                 "services.s1.databases.d1.cap"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["kinds"]["lookup"]["service"] = 1;
+                 }),
+                 "kinds.lookup.service"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["services"]["s1"]["quota"]["branches"]["counter"]["connections"] = 40;
+                 }),
+                 std::string(quota) + ".branches"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["services"]["s1"]["quota"]["branches"]["low"]["branches"]["status"]["connections"] = 9;
+                 }),
+                 std::string(quota) + ".branches.low.branches"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["services"]["s1"]["quota"]["connections"] = 61;
+                 }),
+                 std::string(quota) + ".connections"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["weights"]["fast"] = 0;
+                 }),
+                 "weights.fast"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["services"]["s1"]["databases"]["d1"]["cap"] = -1;
+                 }),
+                 "services.s1.databases.d1.cap"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["services"]["s1"]["databases"]["d2"]["address"] = "10.0.0.1:1";
+                 }),
+                 "services.s1.databases.d2.address"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["services"]["s1"]["databases"]["d1"]["address"] = "nowhere";
+                 }),
+                 "services.s1.databases.d1.address"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["kinds"]["lookup"]["machines"] = {"gone"};
+                 }),
+                 "kinds.lookup.machines"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["kinds"]["lookup"]["databases"] = {"gone"};
+                 }),
+                 "kinds.lookup.databases"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["kinds"]["lookup"]["branch"] = "low";
+                 }),
+                 "kinds.lookup.branch"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["kinds"]["lookup"]["service"] = "s2";
+                 }),
+                 "kinds.lookup.service"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["kinds"]["counter"].erase("branch");
+                 }),
+                 "kinds.counter.branch"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["kinds"]["lookup"]["consistency"] = "soon";
+                 }),
+                 "kinds.lookup.consistency"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["weights"]["gone"] = 2;
+                 }),
+                 "weights.gone"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["services"] = 7;
+                 }),
+                 "services"));
 }
 
-TEST_CASE("a kind without a branch goes to the one that takes its labels") {
-  auto json = sound();
+TEST_CASE("a kind without a branch is assigned to the branch that takes its labels") {
+  auto json = validPlan();
   json["kinds"]["counter"].erase("branch");
   auto& branches = json["services"]["s1"]["quota"]["branches"];
   branches["counter"]["takes"] = {"desk"};
@@ -153,16 +153,16 @@
   REQUIRE(plan);
   CHECK(plan->kinds.at(KindName{"counter"}).branch == BranchName{"counter"});
   branches["low"]["branches"]["status"]["takes"] = {"desk"};
-  CHECK(faulted(json, "kinds.counter.branch"));
+  CHECK(hasFault(json, "kinds.counter.branch"));
 }
 
-TEST_CASE("what is not one JSON object, or names a thing twice, or is too large is refused") {
+TEST_CASE("text that is not one JSON object, has a duplicate key, or is too large or too deep is rejected") {
   PlanReader reader;
   CHECK_FALSE(reader.read("{\"mark\":1"));
   CHECK_FALSE(reader.read(""));
   CHECK_FALSE(reader.read("[]"));
   CHECK_FALSE(reader.read(std::string(PlanReader::maxBytes + 1, ' ')));
-  auto text = sound().dump();
+  auto text = validPlan().dump();
   text.insert(1, "\"mark\":5,");
   CHECK_FALSE(reader.read(text));
   std::string deep;
@@ -171,7 +171,7 @@
   CHECK_FALSE(reader.read(deep + std::string(deep.size(), ']')));
 }
 
-TEST_CASE("shares never sum past a branch, give the floor first and then by want") {
+TEST_CASE("shares never exceed the branch; the floor is granted first, the rest by demand") {
   PlanService service;
   service.branches[BranchName{"b"}] = PlanBranch{20, 2, 1, {}};
   Wanted wanted;
@@ -197,8 +197,8 @@
   CHECK(sum == 20);
 }
 
-TEST_CASE("a plan is compared with the fleet as it is") {
-  auto plan = *PlanReader{}.read(sound().dump());
+TEST_CASE("a plan is checked against the current plan and the fleet") {
+  auto plan = *PlanReader{}.read(validPlan().dump());
   auto status = Json::parse(R"({"nodes":{"10.1.0.1:1":{"draining":false}},"services":{"s1":{"primary":"d9","databases":{"d1":{}}}}})");
   auto check = checkPlan(plan, plan, status);
   auto has = [](const std::vector<std::string>& lines, const std::string& part) {
@@ -211,7 +211,7 @@
   CHECK(has(check.warnings, "10.1.0.2:1 is not in the fleet"));
   CHECK(has(check.warnings, "s1/d2 has sent no heartbeat"));
   CHECK(has(check.warnings, "s1/d9 is not in the plan"));
-  auto other = sound();
+  auto other = validPlan();
   other["kinds"].erase("lookup");
   check = checkPlan(*PlanReader{}.read(other.dump()), plan, status);
   CHECK(has(check.changes, "removes kind lookup"));
@@ -220,11 +220,11 @@
   CHECK(has(checkPlan(*PlanReader{}.read(other.dump()), plan, status).errors, "older"));
 }
 
-TEST_CASE("a service is given with its databases or found by heartbeats, not both and not neither") {
-  auto json = sound();
+TEST_CASE("a service has either listed databases or discovery by heartbeats") {
+  auto json = validPlan();
   auto& service = json["services"]["s1"];
   service["discovery"] = "heartbeats";
-  CHECK(faulted(json, "services.s1.databases"));
+  CHECK(hasFault(json, "services.s1.databases"));
   service.erase("databases");
   json["kinds"]["lookup"].erase("databases");
   service["sync-replicas"] = 0;
@@ -233,23 +233,23 @@
   const auto& read = plan->services.at(ServiceName{"s1"});
   CHECK(read.discovered);
   CHECK_FALSE(read.keepsAcknowledgedWrites());
-  CHECK(PlanReader{}.read(sound().dump())->services.at(ServiceName{"s1"}).keepsAcknowledgedWrites());
+  CHECK(PlanReader{}.read(validPlan().dump())->services.at(ServiceName{"s1"}).keepsAcknowledgedWrites());
   json["kinds"]["lookup"]["databases"] = {"big"};
-  CHECK(faulted(json, "kinds.lookup.databases"));
+  CHECK(hasFault(json, "kinds.lookup.databases"));
   json["kinds"] = Json::object();
   CHECK(PlanReader{}.read(json.dump()));
   json["kinds"] = "";
-  CHECK(faulted(json, "kinds"));
+  CHECK(hasFault(json, "kinds"));
   service.erase("discovery");
-  CHECK(faulted(json, "kinds"));
+  CHECK(hasFault(json, "kinds"));
   json["kinds"] = Json::object();
-  CHECK(faulted(json, "services.s1.databases"));
+  CHECK(hasFault(json, "services.s1.databases"));
   service["discovery"] = "guesses";
-  CHECK(faulted(json, "services.s1.discovery"));
+  CHECK(hasFault(json, "services.s1.discovery"));
 }
 
-TEST_CASE("a plan from before discovery's word was changed is read still") {
-  auto json = sound();
+TEST_CASE("a plan with the former value of discovery is still read") {
+  auto json = validPlan();
   auto& service = json["services"]["s1"];
   service["discovery"] = "beats";
   service.erase("databases");
@@ -259,8 +259,8 @@
   CHECK(plan->services.at(ServiceName{"s1"}).discovered);
 }
 
-TEST_CASE("kinds have bounds, an order and a host of their own, and a plan limits and an annotation") {
-  auto json = sound();
+TEST_CASE("kinds have their own bounds, order and host; a plan has limits and an annotation") {
+  auto json = validPlan();
   std::string name(128, 'k');
   auto& kind = json["kinds"][name] = json["kinds"]["lookup"];
   kind.update(Json{{"staleness-ms", 700}, {"statement-ms", 800}, {"aim-ms", 200}, {"order", 2}, {"host", "records"}, {"prefix", "/"}});
@@ -284,40 +284,40 @@
     change(other);
     return other;
   };
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["annotation"] = std::string(PlanReader::maxAnnotationBytes + 1, 'x');
-                }),
-                "annotation"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["limits"]["message-bytes"] = -1;
-                }),
-                "limits.message-bytes"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["limits"]["message-bytes"] = "many";
-                }),
-                "limits.message-bytes"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["limits"] = 3;
-                }),
-                "limits"));
-  CHECK(faulted(broken([&](Json& plan) {
-                  plan["kinds"][name]["statement-ms"] = 0;
-                }),
-                "kinds." + name + ".statement-ms"));
-  CHECK(faulted(broken([&](Json& plan) {
-                  plan["kinds"][name]["staleness-ms"] = "1";
-                }),
-                "kinds." + name + ".staleness-ms"));
-  CHECK(faulted(broken([](Json& plan) {
-                  plan["kinds"]["lookup"].update(Json{{"host", "records"}, {"prefix", "/"}});
-                }),
-                "kinds.lookup.host") != faulted(broken([](Json& plan) {
-                                                  plan["kinds"]["lookup"].update(Json{{"host", "records"}, {"prefix", "/"}});
-                                                }),
-                                                "kinds." + name + ".host"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["annotation"] = std::string(PlanReader::maxAnnotationBytes + 1, 'x');
+                 }),
+                 "annotation"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["limits"]["message-bytes"] = -1;
+                 }),
+                 "limits.message-bytes"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["limits"]["message-bytes"] = "many";
+                 }),
+                 "limits.message-bytes"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["limits"] = 3;
+                 }),
+                 "limits"));
+  CHECK(hasFault(broken([&](Json& plan) {
+                   plan["kinds"][name]["statement-ms"] = 0;
+                 }),
+                 "kinds." + name + ".statement-ms"));
+  CHECK(hasFault(broken([&](Json& plan) {
+                   plan["kinds"][name]["staleness-ms"] = "1";
+                 }),
+                 "kinds." + name + ".staleness-ms"));
+  CHECK(hasFault(broken([](Json& plan) {
+                   plan["kinds"]["lookup"].update(Json{{"host", "records"}, {"prefix", "/"}});
+                 }),
+                 "kinds.lookup.host") != hasFault(broken([](Json& plan) {
+                                                    plan["kinds"]["lookup"].update(Json{{"host", "records"}, {"prefix", "/"}});
+                                                  }),
+                                                  "kinds." + name + ".host"));
   CHECK(PlanReader{}.read(broken([](Json& plan) {
                             plan["kinds"]["lookup"].update(Json{{"host", "records"}, {"prefix", "/b"}});
                           }).dump()));
   json["kinds"][name + "k"] = kind;
-  CHECK(faulted(json, "kinds." + name + "k"));
+  CHECK(hasFault(json, "kinds." + name + "k"));
 }
--- a/tests/scripted_databases.cpp
+++ b/tests/scripted_databases.cpp
@@ -2,18 +2,18 @@
 
 namespace tamarindshift {
 
-void ScriptedDatabases::add(const DatabaseHeartbeat& heartbeat, LogPosition place) {
+void ScriptedDatabases::add(const DatabaseHeartbeat& heartbeat, LogPosition logEnd) {
   auto& added = databases_[heartbeat.database];
   added = Database{};
   added.heartbeat = heartbeat;
-  added.place = place;
-  scope_.spawn(heartbeats(heartbeat.database));
+  added.logEnd = logEnd;
+  scope_.spawn(sendHeartbeats(heartbeat.database));
 }
 
 void ScriptedDatabases::sendHeartbeat(const std::string& name) {
   auto& own = at(name);
   ++own.heartbeat.number;
-  if (own.up && !own.unreachable && !own.silent) scope_.spawn(pass(own.heartbeat));
+  if (own.up && !own.unreachable && !own.silent) scope_.spawn(deliverHeartbeat(own.heartbeat));
 }
 
 std::uint64_t ScriptedDatabases::statusCalls() const {
@@ -22,11 +22,11 @@
   return sum;
 }
 
-Task<void> ScriptedDatabases::pass(DatabaseHeartbeat heartbeat) {
+Task<void> ScriptedDatabases::deliverHeartbeat(DatabaseHeartbeat heartbeat) {
   co_await deliver_(heartbeat);
 }
 
-Task<void> ScriptedDatabases::heartbeats(DatabaseName name) {
+Task<void> ScriptedDatabases::sendHeartbeats(DatabaseName name) {
   for (;;) {
     sendHeartbeat(name.get());
     co_await sleep(clock_, 1200ms);
@@ -55,7 +55,7 @@
   if (!answered) co_return std::nullopt;
   auto& own = databases_[target.database];
   own.demotedWith.push_back(epoch);
-  if (own.heartbeat.role == "primary" && epoch > own.place.epoch) {
+  if (own.heartbeat.role == "primary" && epoch > own.logEnd.epoch) {
     own.demotedAt = clock_.now();
     own.heartbeat.role = "replica";
     sendHeartbeat(target.database.get());
@@ -67,24 +67,24 @@
   holders_.push_back(holder);
   auto& own = databases_[target.database];
   ++own.promoteCalls;
-  own.promotedAt = clock_.now();
+  own.promoteCalledAt = clock_.now();
   if (own.promotion == PromotionOutcome::unanswered)
     co_await sleep(clock_, deadline - clock_.now());
   else
     co_await sleep(clock_, 5ms);
-  if (own.promotion == PromotionOutcome::accepted && own.leadsWhenAccepted) scope_.spawn(lead(target.database));
+  if (own.promotion == PromotionOutcome::accepted && own.leadsWhenAccepted) scope_.spawn(takeEffect(target.database));
   co_return own.promotion;
 }
 
-Task<void> ScriptedDatabases::lead(DatabaseName name) {
+Task<void> ScriptedDatabases::takeEffect(DatabaseName name) {
   co_await sleep(clock_, 300ms);
   auto& own = databases_[name];
   Epoch newest;
   for (const auto& [other, database] : databases_) newest = std::max(newest, database.term());
   if (own.heartbeat.role == "primary" && own.term() == newest) co_return;
   own.heartbeat.role = "primary";
-  own.place.epoch = own.newestTerm = Epoch{newest.get() + 1};
-  own.ledAt = clock_.now();
+  own.logEnd.epoch = own.newestTerm = Epoch{newest.get() + 1};
+  own.becamePrimaryAt = clock_.now();
   sendHeartbeat(name.get());
 }
 
--- a/tests/scripted_databases.hpp
+++ b/tests/scripted_databases.hpp
@@ -1,5 +1,7 @@
 #pragma once
 
+// Databases with scripted behaviour, as test doubles for DatabaseControl.
+
 #include <functional>
 
 #include "base/gate.hpp"
@@ -10,36 +12,46 @@
 
 namespace tamarindshift {
 
+/// Databases that send heartbeats and answer status, demote and promote calls as the test sets them up.
 class ScriptedDatabases : public DatabaseControl {
  public:
   struct Database {
     DatabaseHeartbeat heartbeat;
-    LogPosition place;
-    /// The newest term it knows of, where that is above the one of its log.
+    /// Position of the last entry of its log.
+    LogPosition logEnd;
+    /// The newest term that it knows, if higher than the epoch of its log.
     Epoch newestTerm;
+    /// False: the process is down; calls fail at once.
     bool up = true;
+    /// Calls time out and no heartbeats arrive.
     bool unreachable = false;
+    /// No heartbeats arrive; calls are answered.
     bool silent = false;
+    /// Reply to a promote call.
     PromotionOutcome promotion = PromotionOutcome::accepted;
+    /// Whether an accepted promotion takes effect.
     bool leadsWhenAccepted = true;
     std::uint64_t statusCalls = 0;
     std::uint64_t promoteCalls = 0;
     std::vector<Epoch> demotedWith;
     Instant demotedAt{};
-    Instant promotedAt{};
-    /// When it last began to lead by a promotion.
-    Instant ledAt{};
-    Epoch term() const { return std::max(newestTerm, place.epoch); }
+    /// When promote was last called.
+    Instant promoteCalledAt{};
+    /// When a promotion last took effect.
+    Instant becamePrimaryAt{};
+    Epoch term() const { return std::max(newestTerm, logEnd.epoch); }
   };
   using Deliver = std::function<Task<DoorReply>(DatabaseHeartbeat)>;
 
   ScriptedDatabases(Clock& clock, Deliver deliver) : clock_(clock), deliver_(std::move(deliver)) {}
   Database& at(const std::string& name) { return databases_.at(DatabaseName{name}); }
-  void add(const DatabaseHeartbeat& heartbeat, LogPosition place);
-  // a database that never sent a heartbeat and answers nothing
+  void add(const DatabaseHeartbeat& heartbeat, LogPosition logEnd);
+  /// Adds a database that never sent a heartbeat and answers no call.
   void addUnreachable(const std::string& name) { databases_[DatabaseName{name}].unreachable = true; }
+  /// Sends a heartbeat now.
   void sendHeartbeat(const std::string& name);
   std::uint64_t statusCalls() const;
+  /// The holder of each promote call.
   const std::vector<DutyHolder>& holders() const { return holders_; }
 
   Task<std::optional<DatabaseStanding>> status(DatabaseTarget target, Instant deadline) override;
@@ -47,12 +59,12 @@
   Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) override;
 
  private:
-  Task<void> heartbeats(DatabaseName name);
-  Task<void> lead(DatabaseName name);
-  Task<void> pass(DatabaseHeartbeat heartbeat);
+  Task<void> sendHeartbeats(DatabaseName name);
+  Task<void> takeEffect(DatabaseName name);
+  Task<void> deliverHeartbeat(DatabaseHeartbeat heartbeat);
   Task<bool> answers(DatabaseName name, Instant deadline);
   DatabaseStanding standing(const Database& database) const {
-    return DatabaseStanding{database.heartbeat.role, database.place.epoch, database.place.position, {}, database.term()};
+    return DatabaseStanding{database.heartbeat.role, database.logEnd.epoch, database.logEnd.position, {}, database.term()};
   }
 
   Clock& clock_;
