--- a/src/control/database_control.hpp
+++ b/src/control/database_control.hpp
@@ -17,10 +17,10 @@
 };
 
 enum class PromotionOutcome {
-  promoted,    ///< the database is primary now
-  accepted,    ///< it will be primary, and reports so itself
-  refused,     ///< it cannot become primary
-  unanswered,  ///< no reply before the deadline, or the call was not sent
+  promoted,   ///< the database is primary now
+  accepted,   ///< it will be primary, and reports so itself
+  refused,    ///< it cannot become primary
+  unanswered  ///< no reply before the deadline, or the call was not sent
 };
 
 /// The member on whose behalf a promotion is called.
