--- a/src/base/desk.cpp
+++ b/src/base/desk.cpp
@@ -1,14 +1,14 @@
 #include "base/desk.hpp"
 
-#include "wire/desk_messages.hpp"
+#include "wire/peer_request.hpp"
 
 namespace tamarindshift {
 
 Desk::Desk(Clock& clock, PeerLink& link, std::uint64_t boot) : clock_(clock), link_(link), boot_(boot) {
-  link_.on(Matter::ask, [this](const Address& from, const std::string& bytes) {
+  link_.on(MessageType::request, [this](const Address& from, const std::string& bytes) {
     onAsk(from, bytes);
   });
-  link_.on(Matter::reply, [this](const Address& from, const std::string& bytes) {
+  link_.on(MessageType::reply, [this](const Address& from, const std::string& bytes) {
     onReply(from, bytes);
   });
   link_.onRefused([this](const Address& peer) {
@@ -29,8 +29,8 @@
   pending->peer = peer;
   pending->attempt = ++lastAttempt_;
   pending_[pending->attempt] = pending;
-  DeskAsk ask{pending->attempt, boot_, std::move(subject), std::move(body)};
-  link_.pass(peer, Envelope{Matter::ask, packed(ask)});
+  PeerRequest ask{pending->attempt, boot_, std::move(subject), std::move(body)};
+  link_.pass(peer, Envelope{MessageType::request, packed(ask)});
   return pending;
 }
 
@@ -54,11 +54,11 @@
 }
 
 void Desk::tell(const Address& peer, const std::string& subject, const std::string& body) {
-  link_.pass(peer, Envelope{Matter::ask, packed(DeskAsk{0, boot_, subject, body})});
+  link_.pass(peer, Envelope{MessageType::request, packed(PeerRequest{0, boot_, subject, body})});
 }
 
 void Desk::onAsk(const Address& from, const std::string& bytes) {
-  auto ask = unpacked<DeskAsk>(bytes);
+  auto ask = unpacked<PeerRequest>(bytes);
   if (ask) scope_.spawn(answer(from, ask->attempt, ask->boot, ask->subject, ask->body));
 }
 
@@ -66,11 +66,11 @@
   auto found = services_.find(subject);
   if (found == services_.end()) co_return;
   auto reply = co_await found->second(from, std::move(body));
-  if (reply && attempt != 0) link_.pass(from, Envelope{Matter::reply, packed(DeskReply{attempt, boot, std::move(*reply)})});
+  if (reply && attempt != 0) link_.pass(from, Envelope{MessageType::reply, packed(PeerReply{attempt, boot, std::move(*reply)})});
 }
 
 void Desk::onReply(const Address& from, const std::string& bytes) {
-  auto reply = unpacked<DeskReply>(bytes);
+  auto reply = unpacked<PeerReply>(bytes);
   if (!reply || reply->boot != boot_) return;
   auto found = pending_.find(reply->attempt);
   if (found == pending_.end() || found->second->peer != from || found->second->body) return;
--- a/src/base/timing_settings.cpp
+++ b/src/base/timing_settings.cpp
@@ -4,10 +4,10 @@
 
 std::vector<Setting> timingSettings(Timings& timings) {
   return {
-      durationSetting("group-heartbeat", "pause between heartbeats of the group layer", timings.group.heartbeat, 10ms, 1s),
-      durationSetting("group-suspicion", "silence after which a peer is suspected", timings.group.suspicion, 50ms, 5s),
-      durationSetting("group-settle", "how long a change must stand before a view is formed", timings.group.settle, 10ms, 2s),
-      durationSetting("group-flush", "how long a coordinator waits for flushes", timings.group.flush, 50ms, 2s),
+      durationSetting("group-heartbeat", "pause between heartbeats of the group layer", timings.group.heartbeatInterval, 10ms, 1s),
+      durationSetting("group-suspicion", "silence after which a peer is suspected", timings.group.suspicionTimeout, 50ms, 5s),
+      durationSetting("group-settle", "how long a change must stand before a view is formed", timings.group.settleDuration, 10ms, 2s),
+      durationSetting("group-flush", "how long a coordinator waits for flushes", timings.group.flushTimeout, 50ms, 2s),
       durationSetting("lease", "longest lease, from the proof of the replica", timings.lease, 200ms, 2800ms),
       durationSetting("lease-margin", "margin added when leases are waited out", timings.leaseMargin, 10ms, 1s),
       durationSetting("news-wait", "how long a news request waits for a change", timings.newsWait, 10ms, 1s),
--- a/src/base/timings.cpp
+++ b/src/base/timings.cpp
@@ -3,12 +3,12 @@
 namespace tamarindshift {
 
 std::optional<std::string> Timings::fault() const {
-  if (group.suspicion < 3 * group.heartbeat) return "suspicion must be at least three heartbeats";
+  if (group.suspicionTimeout < 3 * group.heartbeatInterval) return "suspicion must be at least three heartbeats";
   if (lease + leaseMargin > planFollowed) return "the lease and its margin must end within the time a plan is followed";
   if (newsPatience < newsWait + 100ms) return "an ask for news must outlast its wait";
-  auto proofAge = 2 * group.heartbeat;
+  auto proofAge = 2 * group.heartbeatInterval;
   auto hops = 3 * (newsWait + 20ms);
-  auto nextView = group.suspicion + group.heartbeat + group.settle + 50ms;
+  auto nextView = group.suspicionTimeout + group.heartbeatInterval + group.settleDuration + 50ms;
   auto nextSource = newsPatience + 50ms;
   if (proofAge + hops + std::max(nextView, nextSource) > lease)
     return "loss of a replica (proof, three hops of news, the longer of the next view and one failed attempt) must fit into a lease";
--- a/src/control/duties.cpp
+++ b/src/control/duties.cpp
@@ -21,12 +21,12 @@
 }
 
 bool Duties::onDuty() const {
-  return engine_.state() == EngineState::regPrim && !engine_.conf().set.empty() && *engine_.conf().set.begin() == own_;
+  return engine_.state() == EngineState::regPrim && !engine_.conf().members.empty() && *engine_.conf().members.begin() == own_;
 }
 
 bool Duties::provedOnDuty() const {
-  auto proved = engine_.provedAt();
-  return onDuty() && proved && clock_.now() - *proved < timings_.group.suspicion;
+  auto proved = engine_.primaryConfirmedAt();
+  return onDuty() && proved && clock_.now() - *proved < timings_.group.suspicionTimeout;
 }
 
 Task<void> Duties::run() {
--- a/src/control/member_replacement.cpp
+++ b/src/control/member_replacement.cpp
@@ -6,14 +6,14 @@
 
 std::size_t MemberReplacement::presentWithout(const ReplicationEngine& engine, const ServerId& member) {
   if (engine.state() != EngineState::regPrim) return 0;
-  const auto& present = engine.conf().set;
+  const auto& present = engine.conf().members;
   return static_cast<std::size_t>(std::count_if(present.begin(), present.end(), [&](const auto& server) {
-    return server != member && engine.knows(server);
+    return server != member && engine.hasMember(server);
   }));
 }
 
 bool MemberReplacement::spare(const ReplicationEngine& engine, const ServerId& member, std::size_t losses) {
-  return losses > 0 && engine.knows(member) && presentWithout(engine, member) >= 2 * losses + 1;
+  return losses > 0 && engine.hasMember(member) && presentWithout(engine, member) >= 2 * losses + 1;
 }
 
 bool MemberReplacement::othersHoldAll(const ReplicationEngine& engine, const ServerId& member, std::size_t losses) {
@@ -21,7 +21,7 @@
 }
 
 void MemberReplacement::review() {
-  const auto& present = engine_.conf().set;
+  const auto& present = engine_.conf().members;
   auto members = engine_.members();
   std::erase_if(awaySince_, [&](const auto& each) {
     return present.contains(each.first) || !members.contains(each.first);
--- a/src/control/recovery_duties.cpp
+++ b/src/control/recovery_duties.cpp
@@ -282,7 +282,7 @@
 Task<bool> Duties::order(ControlMatter matter, std::string body) {
   ControlUpdate update{matter, engine_.primComponent().primIndex, std::move(body)};
   auto outcome = co_await engine_.order(packed(update), clock_.now() + timings_.orderPatience);
-  bool held = outcome.fate == OrderFate::green && outcome.reply == "held";
+  bool held = outcome.status == OrderStatus::green && outcome.reply == "held";
   if (!held) journal_.count("duties.orders_not_held");
   co_return held;
 }
--- a/src/control/replica_metrics.cpp
+++ b/src/control/replica_metrics.cpp
@@ -12,7 +12,7 @@
   page.gauge("members", "Members of the group, those that are away too.");
   page.sample({}, static_cast<double>(engine.members().size()));
   page.gauge("view_members", "Members of the present view.");
-  page.sample({}, static_cast<double>(engine.conf().set.size()));
+  page.sample({}, static_cast<double>(engine.conf().members.size()));
   page.gauge("green_actions", "Place of the last action whose order is final.");
   page.sample({}, static_cast<double>(engine.greenLine()));
   page.gauge("white_actions", "Place up to which all members have the final order.");
--- a/src/control/replica_node.cpp
+++ b/src/control/replica_node.cpp
@@ -23,7 +23,7 @@
 
 std::optional<std::string> ReplicaNode::start() {
   if (auto fault = core_.start()) return fault;
-  duties_ = std::make_unique<Duties>(clock_, journal_, settings_.timings, engine(), state_, access_, databases_, core_.own(),
+  duties_ = std::make_unique<Duties>(clock_, journal_, settings_.timings, engine(), state_, access_, databases_, core_.serverId(),
                                      settings_.losses, settings_.rations);
   news_ = std::make_unique<NewsDesk>(clock_, desk_, board_, *this, settings_.timings.newsWait);
   serveDesk();
@@ -41,7 +41,7 @@
     }
     if (!fault && refused) journal_.line("the disk takes writes again");
     refused = fault.has_value();
-    co_await sleep(clock_, settings_.timings.group.heartbeat);
+    co_await sleep(clock_, settings_.timings.group.heartbeatInterval);
   }
 }
 
@@ -60,7 +60,7 @@
   serveHeartbeats("heartbeat-ask", &ReplicaNode::heartbeat);
   serveHeartbeats("detach", &ReplicaNode::detach);
   desk_.serve("peers", [this](Address, std::string) -> Task<std::optional<std::string>> {
-    auto known = group().known();
+    auto known = group().knownAddresses();
     known.insert(settings_.address);
     co_return packed(known);
   });
@@ -76,7 +76,7 @@
 }
 
 std::optional<Instant> ReplicaNode::leaseUntil(const Topic&) {
-  auto proved = engine().provedAt();
+  auto proved = engine().primaryConfirmedAt();
   if (!proved) return std::nullopt;
   auto until = *proved + settings_.timings.lease;
   if (until <= clock_.now()) return std::nullopt;
@@ -111,7 +111,7 @@
 
 void ReplicaNode::change(ReplicaSettings settings) {
   settings_ = std::move(settings);
-  engine().change(settings_.bounds);
+  engine().setBounds(settings_.bounds);
 }
 
 void ReplicaNode::drain() {
@@ -125,8 +125,8 @@
 // a member that it can spare, the others take over leadership and sequencing without waiting for a suspicion
 Task<void> ReplicaNode::handOver() {
   auto deadline = *drainingSince_ + settings_.timings.orderPatience;
-  auto pause = settings_.timings.group.heartbeat / 4;
-  const auto& own = core_.own();
+  auto pause = settings_.timings.group.heartbeatInterval / 4;
+  const auto& own = core_.serverId();
   while (clock_.now() < deadline && (ordering_ > 0 || !MemberReplacement::othersHoldAll(engine(), own, settings_.losses)))
     co_await sleep(clock_, pause);
   if (MemberReplacement::spare(engine(), own, settings_.losses)) engine().requestLeave(own);
@@ -138,7 +138,7 @@
 bool ReplicaNode::stopped() const {
   if (!drainingSince_) return false;
   // the others need a moment to hear of it
-  return handedOverAt_ && clock_.now() - *handedOverAt_ >= 2 * settings_.timings.group.heartbeat;
+  return handedOverAt_ && clock_.now() - *handedOverAt_ >= 2 * settings_.timings.group.heartbeatInterval;
 }
 
 Task<OrderOutcome> ReplicaNode::order(ControlMatter matter, std::string body) {
@@ -165,8 +165,8 @@
   auto outcome = co_await order(ControlMatter::plan, packed(update));
   if (state_.plan()) result.held = state_.plan()->mark;
   result.position = outcome.position;
-  if (outcome.fate == OrderFate::refused) co_return result;
-  if (outcome.fate == OrderFate::unknown) {
+  if (outcome.status == OrderStatus::refused) co_return result;
+  if (outcome.status == OrderStatus::unknown) {
     journal_.count("operator.plans_unknown");
     result.fate = PlanFate::unknown;
     co_return result;
@@ -186,7 +186,7 @@
 std::optional<DoorReply> ReplicaNode::cannotOrder() const {
   auto comeBack = settings_.timings.comeBack;
   if (auto fault = engine().diskFault()) return refusal(503, "the disk of this member refuses writes", *fault, comeBack);
-  if (engine().state() == EngineState::nonPrim || !engine().member()) return refusal(503, "no primary component", {}, comeBack);
+  if (engine().state() == EngineState::nonPrim || !engine().isMember()) return refusal(503, "no primary component", {}, comeBack);
   if (draining()) return refusal(503, "this node is leaving", {}, comeBack);
   return std::nullopt;
 }
@@ -216,7 +216,8 @@
   if (drains) {
     DatabaseUpdate update{heartbeat.service, heartbeat.database, heartbeat.boot, heartbeat.number, false};
     auto outcome = co_await order(ControlMatter::drainDatabase, packed(update));
-    if (outcome.fate != OrderFate::green || outcome.reply != "held") co_return refusal(503, "not taken in time", "send it again", comeBack);
+    if (outcome.status != OrderStatus::green || outcome.reply != "held")
+      co_return refusal(503, "not taken in time", "send it again", comeBack);
   }
   co_return DoorReply{200, "{}", std::nullopt};
 }
@@ -226,7 +227,7 @@
                          heartbeat.capacity, heartbeat.boot,     heartbeat.number,  heartbeat.role};
   auto outcome = co_await order(ControlMatter::enrolDatabase, packed(update));
   std::optional<DoorReply> refused;
-  if (outcome.fate != OrderFate::green)
+  if (outcome.status != OrderStatus::green)
     refused = refusal(503, "not taken in time", "send it again", settings_.timings.comeBack);
   else if (outcome.reply != "held" && !state_.departed(heartbeat.database))
     refused = refusal(404, outcome.reply);
@@ -242,7 +243,7 @@
   if (auto refusal = cannotOrder()) co_return *refusal;
   DatabaseUpdate update{heartbeat.service, heartbeat.database, heartbeat.boot, heartbeat.number, !listed};
   auto outcome = co_await order(ControlMatter::drainDatabase, packed(update));
-  if (outcome.fate != OrderFate::green) co_return refusal(503, "not taken in time", "send it again", comeBack);
+  if (outcome.status != OrderStatus::green) co_return refusal(503, "not taken in time", "send it again", comeBack);
   if (outcome.reply != "held" && !enrols) co_return refusal(404, outcome.reply);
   co_return DoorReply{200, nlohmann::json{{"position", outcome.position}}.dump(), std::nullopt};
 }
@@ -258,7 +259,7 @@
   if (auto refusal = cannotOrder()) co_return *refusal;
   DatabaseUpdate update{{}, std::move(database), 0, 0, true};
   auto outcome = co_await order(ControlMatter::drainDatabase, packed(update));
-  if (outcome.fate != OrderFate::green) co_return refusal(503, "not taken in time", "send it again", settings_.timings.comeBack);
+  if (outcome.status != OrderStatus::green) co_return refusal(503, "not taken in time", "send it again", settings_.timings.comeBack);
   co_return DoorReply{200, "{}", std::nullopt};
 }
 
@@ -268,8 +269,8 @@
       if (engine().state() != EngineState::regPrim) co_return refusal(503, "no primary component", {}, settings_.timings.comeBack);
       engine().requestLeave(server);
       auto deadline = clock_.now() + settings_.timings.orderPatience;
-      while (engine().knows(server) && clock_.now() < deadline) co_await engine().changed().wait(clock_, deadline);
-      if (engine().knows(server)) co_return refusal(504, "outcome unknown", {}, settings_.timings.comeBack);
+      while (engine().hasMember(server) && clock_.now() < deadline) co_await engine().changed().wait(clock_, deadline);
+      if (engine().hasMember(server)) co_return refusal(504, "outcome unknown", {}, settings_.timings.comeBack);
       co_return DoorReply{200, "{}", std::nullopt};
     }
   co_return refusal(404, "no such member");
--- a/src/control/replica_node.hpp
+++ b/src/control/replica_node.hpp
@@ -16,7 +16,7 @@
               std::uint64_t incarnation);
 
   std::optional<std::string> start();
-  bool dismissed() const { return core_.dismissed(); }
+  bool dismissed() const { return core_.removedFromGroup(); }
   const ReplicationEngine& engine() const { return core_.engine(); }
   ReplicationEngine& engine() { return core_.engine(); }
   const SequencedGroup& group() const { return core_.group(); }
--- a/src/control/replica_status.cpp
+++ b/src/control/replica_status.cpp
@@ -28,7 +28,8 @@
                     {"vulnerable", engine.vulnerable().valid},
                     {"on_duty", replica.duties().onDuty()}};
   if (auto fault = engine.diskFault()) json["disk_fault"] = *fault;
-  if (engine.state() == EngineState::regPrim && !engine.conf().set.empty()) json["duty_holder"] = engine.conf().set.begin()->address.get();
+  if (engine.state() == EngineState::regPrim && !engine.conf().members.empty())
+    json["duty_holder"] = engine.conf().members.begin()->address.get();
   Json primary = Json::array();
   for (const auto& server : engine.primComponent().servers) primary.push_back(text(server));
   json["primary_component"] = {
@@ -38,7 +39,7 @@
     auto cut = engine.redCut().find(server);
     json["members"][text(server)] = {{"green", line}, {"red_cut", cut == engine.redCut().end() ? 0 : cut->second}};
   }
-  if (auto proved = engine.provedAt()) {
+  if (auto proved = engine.primaryConfirmedAt()) {
     json["proved_ms_ago"] = milliseconds(now - *proved).count();
     json["lease_ms"] = milliseconds(std::max(Duration::zero(), *proved + replica.settings().timings.lease - now)).count();
   }
--- a/src/engine/core.cpp
+++ b/src/engine/core.cpp
@@ -32,20 +32,20 @@
   std::set<Address> addresses;
   for (const auto& server : engine_->members()) addresses.insert(server.address);
   group_->meet(addresses);
-  link_.on(Matter::joinAsk, [this](const Address& from, const std::string& bytes) {
+  link_.on(MessageType::joinRequest, [this](const Address& from, const std::string& bytes) {
     onJoinAsk(from, bytes);
   });
-  link_.on(Matter::joinSnapshot, [this](const Address& from, const std::string& bytes) {
+  link_.on(MessageType::joinSnapshot, [this](const Address& from, const std::string& bytes) {
     auto snapshot = unpacked<EngineSnapshot>(bytes);
     if (snapshot && engine_->identity() && engine_->adopt(*snapshot)) journal_.line("joined with a snapshot from " + from.get());
   });
-  link_.on(Matter::leftNotice, [this](const Address&, const std::string& bytes) {
+  link_.on(MessageType::removalNotice, [this](const Address&, const std::string& bytes) {
     auto server = unpacked<ServerId>(bytes);
-    if (server && *server == own_) dismissed_ = true;
+    if (server && *server == own_) removedFromGroup_ = true;
   });
   if (engine_->identity()) {
-    group_->setFoundation(engine_->identity()->foundation);
-    if (!engine_->member()) scope_.spawn(enter());
+    group_->setFoundingMembers(engine_->identity()->foundingMembers);
+    if (!engine_->isMember()) scope_.spawn(enter());
   } else {
     engine_->writeIdentity(IdentityRecord{own_, {}, false}, [this] {
       scope_.spawn(enter());
@@ -56,42 +56,42 @@
 
 void Core::onJoinAsk(const Address& from, const std::string& bytes) {
   auto joiner = unpacked<ServerId>(bytes);
-  if (!joiner || !engine_->member()) return;
+  if (!joiner || !engine_->isMember()) return;
   if (engine_->hasLeft(*joiner))
-    link_.pass(from, Envelope{Matter::leftNotice, packed(*joiner)});
-  else if (engine_->knows(*joiner))
-    link_.pass(from, Envelope{Matter::joinSnapshot, packed(engine_->snapshotNow())});
+    link_.pass(from, Envelope{MessageType::removalNotice, packed(*joiner)});
+  else if (engine_->hasMember(*joiner))
+    link_.pass(from, Envelope{MessageType::joinSnapshot, packed(engine_->snapshotNow())});
   else
     engine_->requestJoin(*joiner);
 }
 
 Task<void> Core::enter() {
   std::size_t attempt = 0;
-  while (!engine_->member()) {
+  while (!engine_->isMember()) {
     auto identity = *engine_->identity();
-    auto agreed = group_->agreedFoundation();
+    auto agreed = group_->agreedFoundingMembers();
     auto joined = group_->joinedPeers();
     if (agreed && agreed->contains(own_)) {
-      identity.foundation = *agreed;
+      identity.foundingMembers = *agreed;
       identity.founded = true;
       engine_->writeIdentity(identity, [] {});
-      group_->setFoundation(*agreed);
+      group_->setFoundingMembers(*agreed);
       engine_->found();
       journal_.line("founded a group of " + std::to_string(agreed->size()));
     } else if (!joined.empty()) {
-      link_.pass(joined[attempt++ % joined.size()], Envelope{Matter::joinAsk, packed(own_)});
-      co_await sleep(clock_, 2 * settings_.timings.heartbeat);
+      link_.pass(joined[attempt++ % joined.size()], Envelope{MessageType::joinRequest, packed(own_)});
+      co_await sleep(clock_, 2 * settings_.timings.heartbeatInterval);
     } else if (auto seeds = settings_.mayFound ? group_->unjoinedSeeds() : std::nullopt;
-               seeds && seeds->contains(own_) && *seeds != identity.foundation) {
-      identity.foundation = *seeds;
+               seeds && seeds->contains(own_) && *seeds != identity.foundingMembers) {
+      identity.foundingMembers = *seeds;
       Gate synced;
       engine_->writeIdentity(identity, [&synced] {
         synced.open();
       });
       co_await synced.wait(clock_);
-      group_->setFoundation(identity.foundation);
+      group_->setFoundingMembers(identity.foundingMembers);
     }
-    co_await sleep(clock_, settings_.timings.heartbeat);
+    co_await sleep(clock_, settings_.timings.heartbeatInterval);
   }
 }
 
--- a/src/engine/core.hpp
+++ b/src/engine/core.hpp
@@ -25,11 +25,11 @@
   std::optional<std::string> start();
   /// Tells the other members that this one leaves now and steps out of the view, for good as far as this process goes.
   void retire() { group_->retire(); }
-  bool dismissed() const { return dismissed_ || engine_->dismissed(); }
+  bool removedFromGroup() const { return removedFromGroup_ || engine_->removedFromGroup(); }
   const ReplicationEngine& engine() const { return *engine_; }
   ReplicationEngine& engine() { return *engine_; }
   const SequencedGroup& group() const { return *group_; }
-  const ServerId& own() const { return own_; }
+  const ServerId& serverId() const { return own_; }
 
  private:
   Task<void> enter();
@@ -43,7 +43,7 @@
   CoreSettings settings_;
   std::uint64_t incarnation_;
   ServerId own_;
-  bool dismissed_ = false;
+  bool removedFromGroup_ = false;
   std::unique_ptr<SequencedGroup> group_;
   std::unique_ptr<ReplicationEngine> engine_;
   TaskScope scope_;
--- a/src/engine/engine_exchange.cpp
+++ b/src/engine/engine_exchange.cpp
@@ -15,13 +15,13 @@
   enterState(EngineState::exchangeStates);
   StateMessage state{serverId_,     conf_.confId,   redCut_,     greenLine(), greenBase_,
                      attemptIndex_, primComponent_, vulnerable_, yellow_,     lostAtExchange_};
-  syncThenSend(EngineMatter::state, packed(state), false);
+  syncThenSend(EngineMessageType::state, packed(state), false);
 }
 
 void ReplicationEngine::onState(const StateMessage& state) {
   if (state_ != EngineState::exchangeStates || state.confId != conf_.confId) return;
   stateMessages_[state.serverId] = state;
-  if (stateMessages_.size() < conf_.set.size()) return;
+  if (stateMessages_.size() < conf_.members.size()) return;
   planTurns();
   shiftToExchangeActions();
 }
@@ -66,7 +66,7 @@
     retransGreen();
   else
     retransRed();
-  send(EngineMatter::endOfTurn, packed(serverId_), false);
+  send(EngineMessageType::endOfTurn, packed(serverId_), false);
 }
 
 std::size_t ReplicationEngine::greenBytesAfter(std::uint64_t position) const {
@@ -81,12 +81,12 @@
   for (const auto& [server, state] : stateMessages_) lowest = std::min(lowest, state.greenLine);
   bool discarded = lowest < greenBase_;
   auto missingBytes = discarded ? 0 : greenBytesAfter(lowest);
-  if (discarded || missingBytes > bounds_.actionsBeforeSnapshotBytes) {
+  if (discarded || missingBytes > bounds_.snapshotThresholdBytes) {
     auto snapshot = packed(snapshotNow());
-    if (discarded || snapshot.size() < missingBytes) return send(EngineMatter::snapshot, std::move(snapshot), false);
+    if (discarded || snapshot.size() < missingBytes) return send(EngineMessageType::snapshot, std::move(snapshot), false);
   }
   for (auto position = lowest + 1; position <= greenLine(); ++position)
-    send(EngineMatter::green, packed(GreenMessage{position, green_[position - greenBase_ - 1]}), false);
+    send(EngineMessageType::green, packed(GreenMessage{position, green_[position - greenBase_ - 1]}), false);
 }
 
 void ReplicationEngine::retransRed() {
@@ -96,24 +96,24 @@
       auto cut = state.redCut.find(id.serverId);
       missing = missing || cut == state.redCut.end() || cut->second < id.index;
     }
-    if (missing) send(EngineMatter::red, packed(action), false);
+    if (missing) send(EngineMessageType::red, packed(action), false);
   }
 }
 
 void ReplicationEngine::onRetransmitted(const EngineMessage& message) {
-  if (message.matter == EngineMatter::green) {
+  if (message.type == EngineMessageType::green) {
     auto green = unpacked<GreenMessage>(message.body);
     if (green && green->position == greenLine() + 1) markGreen(green->action);
-  } else if (message.matter == EngineMatter::red) {
+  } else if (message.type == EngineMessageType::red) {
     if (auto action = unpacked<Action>(message.body)) markRed(*action);
-  } else if (message.matter == EngineMatter::snapshot) {
+  } else if (message.type == EngineMessageType::snapshot) {
     auto snapshot = unpacked<EngineSnapshot>(message.body);
     if (snapshot && snapshot->greenLine > greenLine()) {
       journal_.count("engine.snapshots_taken");
       applySnapshot(*snapshot);
       store_.rewrite(wholeState());
     }
-  } else if (message.matter == EngineMatter::endOfTurn && state_ == EngineState::exchangeActions) {
+  } else if (message.type == EngineMessageType::endOfTurn && state_ == EngineState::exchangeActions) {
     ++turn_;
     if (endOfRetransmission())
       endOfRetrans();
@@ -128,9 +128,9 @@
   computeKnowledge();
   if (isQuorum()) {
     ++attemptIndex_;
-    vulnerable_ = Vulnerable{true, primComponent_.primIndex, attemptIndex_, conf_.set, {}};
+    vulnerable_ = Vulnerable{true, primComponent_.primIndex, attemptIndex_, conf_.members, {}};
     enterState(EngineState::construct);
-    syncThenSend(EngineMatter::cpc, packed(CpcMessage{serverId_, conf_.confId}), true);
+    syncThenSend(EngineMessageType::cpc, packed(CpcMessage{serverId_, conf_.confId}), true);
   } else {
     enterState(EngineState::nonPrim);
     handleBuffRequests();
@@ -151,11 +151,11 @@
     attemptIndex_ = std::max(attemptIndex_, state.attemptIndex);
     if (!state.yellow.valid) continue;
     if (!common) {
-      common = state.yellow.set;
+      common = state.yellow.actionIds;
       continue;
     }
     std::erase_if(*common, [&](const ActionId& id) {
-      return std::find(state.yellow.set.begin(), state.yellow.set.end(), id) == state.yellow.set.end();
+      return std::find(state.yellow.actionIds.begin(), state.yellow.actionIds.end(), id) == state.yellow.actionIds.end();
     });
   }
   yellow_ = common ? Yellow{true, *common} : Yellow{};
@@ -164,7 +164,7 @@
   for (auto& [server, state] : stateMessages_) {
     if (!state.vulnerable.valid) continue;
     bool outdated = primComponent_.primIndex > state.vulnerable.primIndex && !primComponent_.servers.contains(server);
-    for (const auto& other : state.vulnerable.set)
+    for (const auto& other : state.vulnerable.members)
       if (auto found = before.find(other); found != before.end() && !found->second.vulnerable.sameAttempt(state.vulnerable))
         outdated = true;
     if (outdated) state.vulnerable.valid = false;
@@ -179,7 +179,8 @@
   for (auto& [server, state] : stateMessages_) {
     if (!state.vulnerable.valid) continue;
     state.vulnerable.bits = bits;
-    if (std::includes(bits.begin(), bits.end(), state.vulnerable.set.begin(), state.vulnerable.set.end())) state.vulnerable.valid = false;
+    if (std::includes(bits.begin(), bits.end(), state.vulnerable.members.begin(), state.vulnerable.members.end()))
+      state.vulnerable.valid = false;
   }
   vulnerable_ = stateMessages_.at(serverId_).vulnerable;
   recordMeta();
@@ -192,15 +193,15 @@
     lost.insert(state.lost.begin(), state.lost.end());
   }
   std::size_t groupPresent = 0;
-  for (const auto& [server, line] : greenLines_) groupPresent += conf_.set.contains(server);
+  for (const auto& [server, line] : greenLines_) groupPresent += conf_.members.contains(server);
   if (2 * groupPresent <= greenLines_.size()) return false;
   std::set<ServerId> voters;
   std::set_difference(primComponent_.servers.begin(), primComponent_.servers.end(), lost.begin(), lost.end(),
                       std::inserter(voters, voters.end()));
   if (voters.empty()) return false;
   std::size_t present = 0;
-  for (const auto& server : voters) present += conf_.set.contains(server);
-  if (2 * present == voters.size()) return conf_.set.contains(*voters.begin());
+  for (const auto& server : voters) present += conf_.members.contains(server);
+  if (2 * present == voters.size()) return conf_.members.contains(*voters.begin());
   return 2 * present > voters.size();
 }
 
@@ -209,9 +210,9 @@
   if (state_ != EngineState::construct && state_ != EngineState::no) return;
   cpcs_.insert(cpc.serverId);
   recordMeta();
-  if (cpcs_ != conf_.set) return;
+  if (cpcs_ != conf_.members) return;
   if (state_ == EngineState::no) return enterState(EngineState::un);
-  for (const auto& server : conf_.set)
+  for (const auto& server : conf_.members)
     if (auto line = greenLines_.find(server); line != greenLines_.end()) line->second = greenLine();
   install();
   enterState(EngineState::regPrim);
@@ -222,12 +223,12 @@
 
 void ReplicationEngine::install() {
   if (yellow_.valid)
-    for (const auto& id : yellow_.set)
+    for (const auto& id : yellow_.actionIds)
       if (auto found = red_.find(id); found != red_.end()) markGreen(Action{found->second});
   yellow_ = Yellow{};
   ++primComponent_.primIndex;
   primComponent_.attemptIndex = attemptIndex_;
-  primComponent_.servers = vulnerable_.set;
+  primComponent_.servers = vulnerable_.members;
   attemptIndex_ = 0;
   while (!red_.empty()) markGreen(Action{red_.begin()->second});
   recordMeta();
--- a/src/engine/engine_messages.hpp
+++ b/src/engine/engine_messages.hpp
@@ -10,12 +10,12 @@
 
 namespace tamarindshift {
 
-enum class EngineMatter : std::uint8_t { action = 1, state = 2, cpc = 3, green = 4, red = 5, snapshot = 6, endOfTurn = 7 };
+enum class EngineMessageType : std::uint8_t { action = 1, state = 2, cpc = 3, green = 4, red = 5, snapshot = 6, endOfTurn = 7 };
 
 struct EngineMessage {
-  EngineMatter matter{};
+  EngineMessageType type{};
   std::string body;
-  MSGPACK_DEFINE(matter, body)
+  MSGPACK_DEFINE(type, body)
 };
 
 struct StateMessage {
@@ -55,4 +55,4 @@
 
 }  // namespace tamarindshift
 
-MSGPACK_ADD_ENUM(tamarindshift::EngineMatter)
+MSGPACK_ADD_ENUM(tamarindshift::EngineMessageType)
--- a/src/engine/engine_records.hpp
+++ b/src/engine/engine_records.hpp
@@ -25,9 +25,9 @@
 
 struct IdentityRecord {
   ServerId serverId;
-  std::set<ServerId> foundation;
+  std::set<ServerId> foundingMembers;
   bool founded = false;
-  MSGPACK_DEFINE(serverId, foundation, founded)
+  MSGPACK_DEFINE(serverId, foundingMembers, founded)
 };
 
 struct MetaRecord {
--- a/src/engine/engine_storage.cpp
+++ b/src/engine/engine_storage.cpp
@@ -31,7 +31,7 @@
   std::erase_if(ongoingQueue_, [this](const auto& each) {
     return each.first <= greenCut_[serverId_];
   });
-  if (left_.contains(serverId_)) dismissed_ = true;
+  if (left_.contains(serverId_)) removedFromGroup_ = true;
   changed_.open();
 }
 
@@ -52,15 +52,15 @@
 }
 
 void ReplicationEngine::startFromFoundation() {
-  for (const auto& server : identity_->foundation) greenLines_[server] = 0;
-  primComponent_ = PrimComponent{0, 0, identity_->foundation};
+  for (const auto& server : identity_->foundingMembers) greenLines_[server] = 0;
+  primComponent_ = PrimComponent{0, 0, identity_->foundingMembers};
 }
 
 bool ReplicationEngine::adopt(const EngineSnapshot& snapshot) {
   if (started_ || !snapshot.greenLines.contains(serverId_)) return false;
   applySnapshot(snapshot);
   identity_->founded = true;
-  identity_->foundation.clear();
+  identity_->foundingMembers.clear();
   started_ = true;
   store_.rewrite(wholeState());
   syncThen([this] {
@@ -85,10 +85,10 @@
 }
 
 void ReplicationEngine::rewriteWhenLong() {
-  if (store_.length() < std::max(bounds_.storeLength, 2 * rewrittenLength_)) return;
+  if (store_.sizeBytes() < std::max(bounds_.rewriteThresholdBytes, 2 * rewrittenLength_)) return;
   journal_.count("store.rewrites");
   store_.rewrite(wholeState());
-  rewrittenLength_ = store_.length();
+  rewrittenLength_ = store_.sizeBytes();
 }
 
 void ReplicationEngine::loadRecord(const EngineRecord& record) {
@@ -168,11 +168,11 @@
   for (const auto& delivery : std::deque<Delivery>{undelivered_}) {
     auto message = unpacked<EngineMessage>(delivery.payload);
     if (!message) continue;
-    if (message->matter == EngineMatter::action) {
+    if (message->type == EngineMessageType::action) {
       auto action = unpacked<Action>(message->body);
       bool old = action && action->actionId.index <= greenCut_[action->actionId.serverId];
       if (action && !old) onAction(*action);
-    } else if (message->matter == EngineMatter::cpc) {
+    } else if (message->type == EngineMessageType::cpc) {
       onMessage(*message);
     }
   }
--- a/src/engine/order_outcome.hpp
+++ b/src/engine/order_outcome.hpp
@@ -5,10 +5,10 @@
 
 namespace tamarindshift {
 
-enum class OrderFate { green, refused, unknown };
+enum class OrderStatus { green, refused, unknown };
 
 struct OrderOutcome {
-  OrderFate fate = OrderFate::unknown;
+  OrderStatus status = OrderStatus::unknown;
   std::uint64_t position = 0;
   std::string reply;
 };
--- a/src/engine/replication_engine.cpp
+++ b/src/engine/replication_engine.cpp
@@ -21,13 +21,13 @@
 }
 
 std::optional<std::string> ReplicationEngine::diskFault() const {
-  if (!store_.refusing()) return std::nullopt;
+  if (!store_.refusesWrites()) return std::nullopt;
   return store_.lastReason();
 }
 
-std::optional<Instant> ReplicationEngine::provedAt() const {
+std::optional<Instant> ReplicationEngine::primaryConfirmedAt() const {
   if (state_ != EngineState::regPrim) return std::nullopt;
-  return group_.provedAt();
+  return group_.viewConfirmedAt();
 }
 
 void ReplicationEngine::enterState(EngineState state) {
@@ -56,12 +56,12 @@
   });
 }
 
-void ReplicationEngine::send(EngineMatter matter, std::string body, bool durable) {
-  group_.multicast(conf_.confId, packed(EngineMessage{matter, std::move(body)}), durable);
+void ReplicationEngine::send(EngineMessageType type, std::string body, bool durable) {
+  group_.multicast(conf_.confId, packed(EngineMessage{type, std::move(body)}), durable);
 }
 
-void ReplicationEngine::syncThenSend(EngineMatter matter, std::string body, bool durable) {
-  syncThen([this, view = conf_.confId, bytes = packed(EngineMessage{matter, std::move(body)}), durable] {
+void ReplicationEngine::syncThenSend(EngineMessageType type, std::string body, bool durable) {
+  syncThen([this, view = conf_.confId, bytes = packed(EngineMessage{type, std::move(body)}), durable] {
     group_.multicast(view, bytes, durable);
   });
 }
@@ -78,12 +78,12 @@
   });
   if (buffered != buffered_.end()) {
     buffered_.erase(buffered);
-    co_return OrderOutcome{OrderFate::refused, 0, {}};
+    co_return OrderOutcome{OrderStatus::refused, 0, {}};
   }
   std::erase_if(waiting_, [&](const auto& each) {
     return each.second == waiting;
   });
-  co_return OrderOutcome{OrderFate::unknown, 0, {}};
+  co_return OrderOutcome{OrderStatus::unknown, 0, {}};
 }
 
 void ReplicationEngine::requestJoin(const ServerId& joiner) {
@@ -108,13 +108,13 @@
 
 void ReplicationEngine::request(Action action, std::shared_ptr<Waiting> waiting) {
   auto waitingBytes = this->waitingBytes();
-  bool tooMuch = waitingBytes > 0 && waitingBytes + action.update.size() > bounds_.waitingBytes;
-  bool refused = !started_ || store_.refusing() || tooMuch ||
-                 (state_ == EngineState::nonPrim && red_.size() + ongoingQueue_.size() >= bounds_.red) ||
-                 buffered_.size() >= bounds_.buffered;
+  bool tooMuch = waitingBytes > 0 && waitingBytes + action.update.size() > bounds_.maxPendingBytes;
+  bool refused = !started_ || store_.refusesWrites() || tooMuch ||
+                 (state_ == EngineState::nonPrim && red_.size() + ongoingQueue_.size() >= bounds_.maxRedActions) ||
+                 buffered_.size() >= bounds_.maxBufferedRequests;
   if (refused) {
     journal_.count("engine.requests_refused");
-    waiting->outcome = OrderOutcome{OrderFate::refused, 0, {}};
+    waiting->outcome = OrderOutcome{OrderStatus::refused, 0, {}};
     return;
   }
   if (state_ == EngineState::regPrim || state_ == EngineState::nonPrim) {
@@ -139,7 +139,7 @@
   auto found = ongoingQueue_.find(actionId.index);
   if (found == ongoingQueue_.end()) return;
   if (state_ != EngineState::regPrim && state_ != EngineState::nonPrim) return;
-  send(EngineMatter::action, packed(found->second), true);
+  send(EngineMessageType::action, packed(found->second), true);
 }
 
 void ReplicationEngine::handleBuffRequests() {
@@ -186,14 +186,14 @@
 }
 
 void ReplicationEngine::onMessage(const EngineMessage& message) {
-  switch (message.matter) {
-    case EngineMatter::action:
+  switch (message.type) {
+    case EngineMessageType::action:
       if (auto action = unpacked<Action>(message.body)) onAction(*action);
       return;
-    case EngineMatter::state:
+    case EngineMessageType::state:
       if (auto state = unpacked<StateMessage>(message.body)) onState(*state);
       return;
-    case EngineMatter::cpc:
+    case EngineMessageType::cpc:
       if (auto cpc = unpacked<CpcMessage>(message.body)) onCpc(*cpc);
       return;
     default:
@@ -217,7 +217,7 @@
   } else if (state_ == EngineState::un) {
     if (!yellow_.valid) yellow_ = Yellow{true, {}};
     for (const auto& [id, action] : red_)
-      if (std::find(yellow_.set.begin(), yellow_.set.end(), id) == yellow_.set.end()) yellow_.set.push_back(id);
+      if (std::find(yellow_.actionIds.begin(), yellow_.actionIds.end(), id) == yellow_.actionIds.end()) yellow_.actionIds.push_back(id);
   }
 }
 
@@ -275,8 +275,8 @@
 void ReplicationEngine::markYellow(const Action& action) {
   markRed(action);
   if (action.actionId.index <= greenCut_[action.actionId.serverId]) return;
-  if (std::find(yellow_.set.begin(), yellow_.set.end(), action.actionId) != yellow_.set.end()) return;
-  yellow_.set.push_back(action.actionId);
+  if (std::find(yellow_.actionIds.begin(), yellow_.actionIds.end(), action.actionId) != yellow_.actionIds.end()) return;
+  yellow_.actionIds.push_back(action.actionId);
   recordMeta();
 }
 
@@ -306,7 +306,7 @@
   auto leave = [this](const ServerId& server) {
     greenLines_.erase(server);
     left_.insert(server);
-    if (server == serverId_) dismissed_ = true;
+    if (server == serverId_) removedFromGroup_ = true;
     if (!replaying_) journal_.line("left " + text(server));
   };
   if (action.type == ActionType::persistentLeave) {
@@ -332,14 +332,14 @@
   if (action.actionId.serverId != serverId_) return;
   auto found = waiting_.find(action.actionId.index);
   if (found == waiting_.end()) return;
-  found->second->outcome = OrderOutcome{OrderFate::green, position, std::move(reply)};
+  found->second->outcome = OrderOutcome{OrderStatus::green, position, std::move(reply)};
   found->second->gate.open();
   waiting_.erase(found);
 }
 
 void ReplicationEngine::discardWhite() {
   auto white = whiteLine();
-  while (!green_.empty() && (greenBase_ < white || green_.size() > bounds_.greenKept || greenBytes_ > bounds_.greenKeptBytes)) {
+  while (!green_.empty() && (greenBase_ < white || green_.size() > bounds_.maxGreenKept || greenBytes_ > bounds_.maxGreenKeptBytes)) {
     greenBytes_ -= green_.front().update.size();
     green_.pop_front();
     ++greenBase_;
@@ -356,7 +356,7 @@
 
 std::set<ServerId> ReplicationEngine::lostNow() const {
   std::set<ServerId> lost;
-  auto newcomers = group_.unjoined();
+  auto newcomers = group_.unjoinedServers();
   for (const auto& [server, line] : greenLines_)
     for (const auto& newcomer : newcomers)
       if (newcomer.address == server.address && newcomer != server) lost.insert(server);
--- a/src/engine/replication_engine.hpp
+++ b/src/engine/replication_engine.hpp
@@ -19,16 +19,16 @@
 
 /// How much an engine keeps. What is bounded by number is bounded by bytes too, for an action may be a whole configuration.
 struct EngineBounds {
-  std::size_t red = 64;
-  std::size_t buffered = 256;
-  std::size_t greenKept = 2000;
+  std::size_t maxRedActions = 64;
+  std::size_t maxBufferedRequests = 256;
+  std::size_t maxGreenKept = 2000;
   /// Bytes of green actions kept for members that lag; beyond it they get a snapshot.
-  std::size_t greenKeptBytes = 4u << 20;
+  std::size_t maxGreenKeptBytes = 4u << 20;
   /// Bytes of actions that wait for their order; a request that goes over it is refused, unless nothing else waits.
-  std::size_t waitingBytes = 4u << 20;
+  std::size_t maxPendingBytes = 4u << 20;
   /// Bytes of missing green actions that are sent one by one even where a snapshot is smaller.
-  std::size_t actionsBeforeSnapshotBytes = 64u << 10;
-  std::size_t storeLength = 4u << 20;
+  std::size_t snapshotThresholdBytes = 64u << 10;
+  std::size_t rewriteThresholdBytes = 4u << 20;
 };
 
 class ReplicationEngine : public GroupListener {
@@ -38,7 +38,7 @@
   bool recover(const std::vector<std::string>& records);
   void writeIdentity(const IdentityRecord& identity, std::function<void()> synced);
   const std::optional<IdentityRecord>& identity() const { return identity_; }
-  bool member() const { return started_; }
+  bool isMember() const { return started_; }
   void found();
   bool adopt(const EngineSnapshot& snapshot);
   EngineSnapshot snapshotNow() const;
@@ -46,8 +46,8 @@
   Task<OrderOutcome> order(std::string update, Instant deadline);
   void requestJoin(const ServerId& joiner);
   void requestLeave(const ServerId& leaver);
-  void change(EngineBounds bounds) { bounds_ = bounds; }
-  bool knows(const ServerId& server) const { return greenLines_.contains(server); }
+  void setBounds(EngineBounds bounds) { bounds_ = bounds; }
+  bool hasMember(const ServerId& server) const { return greenLines_.contains(server); }
   std::set<ServerId> members() const;
 
   EngineState state() const { return state_; }
@@ -56,15 +56,15 @@
   /// Bytes of the green actions that are kept for members that lag.
   std::size_t greenKeptBytes() const { return greenBytes_; }
   std::size_t redCount() const { return red_.size(); }
-  std::size_t yellowCount() const { return yellow_.set.size(); }
+  std::size_t yellowCount() const { return yellow_.actionIds.size(); }
   std::size_t ongoingCount() const { return ongoingQueue_.size(); }
   const std::map<ServerId, std::uint64_t>& greenLines() const { return greenLines_; }
   const std::map<ServerId, std::uint64_t>& redCut() const { return redCut_; }
   const PrimComponent& primComponent() const { return primComponent_; }
   const Vulnerable& vulnerable() const { return vulnerable_; }
   const Configuration& conf() const { return conf_; }
-  std::optional<Instant> provedAt() const;
-  bool dismissed() const { return dismissed_; }
+  std::optional<Instant> primaryConfirmedAt() const;
+  bool removedFromGroup() const { return removedFromGroup_; }
   Gate& changed() { return changed_; }
 
   void regularConfiguration(const Configuration& configuration) override;
@@ -73,7 +73,7 @@
   void received(const std::vector<Delivery>& deliveries, std::function<void()> stable) override;
   bool hasLeft(const ServerId& server) const override { return left_.contains(server); }
   bool wantsExchange() const override;
-  bool suspended() const override { return store_.refusing(); }
+  bool suspended() const override { return store_.refusesWrites(); }
   /// Why the disk refuses writes; nothing is ordered or acknowledged here while it does.
   std::optional<std::string> diskFault() const;
   Coverage coverage(const std::set<ServerId>& servers) const override;
@@ -92,8 +92,8 @@
   void record(EngineRecordKind kind, std::string body);
   void recordMeta();
   void syncThen(std::function<void()> then);
-  void syncThenSend(EngineMatter matter, std::string body, bool durable);
-  void send(EngineMatter matter, std::string body, bool durable);
+  void syncThenSend(EngineMessageType type, std::string body, bool durable);
+  void send(EngineMessageType type, std::string body, bool durable);
   void createAction(Action action, std::shared_ptr<Waiting> waiting);
   void request(Action action, std::shared_ptr<Waiting> waiting);
   void generate(const ActionId& actionId);
@@ -143,7 +143,7 @@
 
   std::optional<IdentityRecord> identity_;
   bool started_ = false;
-  bool dismissed_ = false;
+  bool removedFromGroup_ = false;
   bool replaying_ = false;
   ServerId serverId_;
   EngineState state_ = EngineState::nonPrim;
--- a/src/engine/yellow.hpp
+++ b/src/engine/yellow.hpp
@@ -8,8 +8,8 @@
 
 struct Yellow {
   bool valid = false;
-  std::vector<ActionId> set;
-  MSGPACK_DEFINE(valid, set)
+  std::vector<ActionId> actionIds;
+  MSGPACK_DEFINE(valid, actionIds)
 };
 
 }  // namespace tamarindshift
--- a/src/group/configuration.hpp
+++ b/src/group/configuration.hpp
@@ -8,8 +8,8 @@
 
 struct Configuration {
   ViewId confId;
-  std::set<ServerId> set;
-  MSGPACK_DEFINE(confId, set)
+  std::set<ServerId> members;
+  MSGPACK_DEFINE(confId, members)
 };
 
 }  // namespace tamarindshift
--- a/src/group/group.hpp
+++ b/src/group/group.hpp
@@ -13,8 +13,8 @@
   virtual ~Group() = default;
   virtual void join(GroupListener& listener) = 0;
   virtual void multicast(const ViewId& view, std::string payload, bool durable) = 0;
-  virtual std::optional<Instant> provedAt() const = 0;
-  virtual std::set<ServerId> unjoined() const = 0;
+  virtual std::optional<Instant> viewConfirmedAt() const = 0;
+  virtual std::set<ServerId> unjoinedServers() const = 0;
 };
 
 }  // namespace tamarindshift
--- a/src/group/group_messages.hpp
+++ b/src/group/group_messages.hpp
@@ -18,12 +18,13 @@
   std::uint64_t stable = 0;
   std::uint64_t safe = 0;
   Duration sentAt{};
-  std::map<Member, Duration> heard;
-  std::set<Address> known;
-  std::set<ServerId> foundation;
+  std::map<Member, Duration> lastHeartbeatSentAt;
+  std::set<Address> knownAddresses;
+  std::set<ServerId> foundingMembers;
   // the process ends: it is to be left out of views at once
   bool retiring = false;
-  MSGPACK_DEFINE(from, joined, view, flushing, highestCounter, received, stable, safe, sentAt, heard, known, foundation, retiring)
+  MSGPACK_DEFINE(from, joined, view, flushing, highestCounter, received, stable, safe, sentAt, lastHeartbeatSentAt, knownAddresses,
+                 foundingMembers, retiring)
 };
 
 struct GroupSubmit {
--- a/src/group/group_timings.hpp
+++ b/src/group/group_timings.hpp
@@ -5,10 +5,10 @@
 namespace tamarindshift {
 
 struct GroupTimings {
-  Duration heartbeat = 100ms;
-  Duration suspicion = 500ms;
-  Duration settle = 200ms;
-  Duration flush = 400ms;
+  Duration heartbeatInterval = 100ms;
+  Duration suspicionTimeout = 500ms;
+  Duration settleDuration = 200ms;
+  Duration flushTimeout = 400ms;
 };
 
 }  // namespace tamarindshift
--- a/src/group/sequenced_group.cpp
+++ b/src/group/sequenced_group.cpp
@@ -7,14 +7,14 @@
 SequencedGroup::SequencedGroup(Clock& clock, PeerLink& link, Journal& journal, Member own, std::set<Address> seeds, GroupTimings timings)
     : clock_(clock), link_(link), journal_(journal), own_(std::move(own)), seeds_(std::move(seeds)), timings_(timings), known_(seeds_) {
   known_.erase(own_.server.address);
-  route(Matter::groupHeartbeat, &SequencedGroup::onHeartbeat);
-  route(Matter::groupSubmit, &SequencedGroup::onSubmit);
-  route(Matter::groupOrdered, &SequencedGroup::onOrdered);
-  route(Matter::groupAcked, &SequencedGroup::onAcked);
-  route(Matter::groupSafe, &SequencedGroup::onSafe);
-  route(Matter::groupPrepare, &SequencedGroup::onPrepare);
-  route(Matter::groupFlushed, &SequencedGroup::onFlushed);
-  route(Matter::groupInstall, &SequencedGroup::onInstall);
+  route(MessageType::groupHeartbeat, &SequencedGroup::onHeartbeat);
+  route(MessageType::groupSubmit, &SequencedGroup::onSubmit);
+  route(MessageType::groupOrdered, &SequencedGroup::onOrdered);
+  route(MessageType::groupAcked, &SequencedGroup::onAcked);
+  route(MessageType::groupSafe, &SequencedGroup::onSafe);
+  route(MessageType::groupPrepare, &SequencedGroup::onPrepare);
+  route(MessageType::groupFlushed, &SequencedGroup::onFlushed);
+  route(MessageType::groupInstall, &SequencedGroup::onInstall);
   link_.onRefused([this](const Address& peer) {
     queue_.put([this, peer] {
       onRefused(peer);
@@ -25,7 +25,7 @@
 }
 
 template <class Body>
-void SequencedGroup::route(Matter matter, void (SequencedGroup::*handler)(const Body&)) {
+void SequencedGroup::route(MessageType matter, void (SequencedGroup::*handler)(const Body&)) {
   link_.on(matter, [this, handler](const Address&, const std::string& bytes) {
     auto body = unpacked<Body>(bytes);
     if (!body) {
@@ -52,7 +52,7 @@
       prepareAgain();
       considerForming();
     });
-    co_await sleep(clock_, timings_.heartbeat);
+    co_await sleep(clock_, timings_.heartbeatInterval);
   }
 }
 
@@ -73,8 +73,8 @@
   });
 }
 
-void SequencedGroup::setFoundation(std::set<ServerId> foundation) {
-  foundation_ = std::move(foundation);
+void SequencedGroup::setFoundingMembers(std::set<ServerId> foundingMembers) {
+  foundingMembers_ = std::move(foundingMembers);
 }
 
 std::optional<std::set<ServerId>> SequencedGroup::unjoinedSeeds() const {
@@ -85,30 +85,30 @@
       continue;
     }
     auto found = peers_.find(seed);
-    if (found == peers_.end() || clock_.now() - found->second.heardAt > timings_.suspicion) return std::nullopt;
+    if (found == peers_.end() || clock_.now() - found->second.heardAt > timings_.suspicionTimeout) return std::nullopt;
     if (found->second.heartbeat.joined) return std::nullopt;
     servers.insert(found->second.heartbeat.from.server);
   }
   return servers;
 }
 
-std::optional<std::set<ServerId>> SequencedGroup::agreedFoundation() const {
+std::optional<std::set<ServerId>> SequencedGroup::agreedFoundingMembers() const {
   for (const auto& [address, peer] : peers_)
-    if (peer.heartbeat.joined && peer.heartbeat.foundation.contains(own_.server)) return peer.heartbeat.foundation;
-  if (foundation_.empty()) return std::nullopt;
-  for (const auto& server : foundation_) {
+    if (peer.heartbeat.joined && peer.heartbeat.foundingMembers.contains(own_.server)) return peer.heartbeat.foundingMembers;
+  if (foundingMembers_.empty()) return std::nullopt;
+  for (const auto& server : foundingMembers_) {
     if (server == own_.server) continue;
     auto found = peers_.find(server.address);
     if (found == peers_.end() || found->second.heartbeat.from.server != server) return std::nullopt;
-    if (found->second.heartbeat.foundation != foundation_) return std::nullopt;
+    if (found->second.heartbeat.foundingMembers != foundingMembers_) return std::nullopt;
   }
-  return foundation_;
+  return foundingMembers_;
 }
 
 std::vector<Address> SequencedGroup::joinedPeers() const {
   std::vector<Address> joined;
   for (const auto& [address, peer] : peers_)
-    if (peer.heartbeat.joined && clock_.now() - peer.heardAt <= timings_.suspicion) joined.push_back(address);
+    if (peer.heartbeat.joined && clock_.now() - peer.heardAt <= timings_.suspicionTimeout) joined.push_back(address);
   return joined;
 }
 
@@ -124,12 +124,13 @@
   heartbeat.stable = stable_;
   heartbeat.safe = safe_;
   heartbeat.sentAt = clock_.now().time_since_epoch();
-  heartbeat.known = known_;
-  heartbeat.foundation = foundation_;
+  heartbeat.knownAddresses = known_;
+  heartbeat.foundingMembers = foundingMembers_;
   heartbeat.retiring = retiring_;
   for (const auto& [address, peer] : peers_)
-    if (clock_.now() - peer.heardAt <= timings_.suspicion) heartbeat.heard[peer.heartbeat.from] = peer.heartbeat.sentAt;
-  for (const auto& address : known_) send(address, Matter::groupHeartbeat, heartbeat);
+    if (clock_.now() - peer.heardAt <= timings_.suspicionTimeout)
+      heartbeat.lastHeartbeatSentAt[peer.heartbeat.from] = peer.heartbeat.sentAt;
+  for (const auto& address : known_) send(address, MessageType::groupHeartbeat, heartbeat);
   submitAgain();
 }
 
@@ -137,7 +138,7 @@
   if (flushing_) return;
   std::size_t bytes = 0;
   for (auto& unordered : unordered_) {
-    if (clock_.now() - unordered.sentAt <= 2 * timings_.heartbeat) continue;
+    if (clock_.now() - unordered.sentAt <= 2 * timings_.heartbeatInterval) continue;
     submit(unordered);
     bytes += unordered.payload.size();
     if (bytes >= repeatedBytes) return;
@@ -147,7 +148,7 @@
 void SequencedGroup::orderAgain(const Address& peer, std::uint64_t received) {
   std::size_t bytes = 0;
   for (auto next = ordered_.upper_bound(received); next != ordered_.end() && bytes < repeatedBytes; ++next) {
-    send(peer, Matter::groupOrdered, next->second);
+    send(peer, MessageType::groupOrdered, next->second);
     bytes += next->second.delivery.payload.size();
   }
 }
@@ -155,7 +156,7 @@
 void SequencedGroup::onHeartbeat(const GroupHeartbeat& heartbeat) {
   if (heartbeat.from.server.address == own_.server.address) return;
   if (listener_ && listener_->hasLeft(heartbeat.from.server)) {
-    send(heartbeat.from.server.address, Matter::leftNotice, heartbeat.from.server);
+    send(heartbeat.from.server.address, MessageType::removalNotice, heartbeat.from.server);
     return;
   }
   auto& peer = peers_[heartbeat.from.server.address];
@@ -167,18 +168,18 @@
   peer.heartbeat = heartbeat;
   peer.heardAt = clock_.now();
   known_.insert(heartbeat.from.server.address);
-  for (const auto& address : heartbeat.known)
+  for (const auto& address : heartbeat.knownAddresses)
     if (address != own_.server.address) known_.insert(address);
   highestCounter_ = std::max(highestCounter_, heartbeat.highestCounter);
 
   bool sameView = !flushing_ && !heartbeat.flushing && heartbeat.view == view_;
   if (!sameView) {
-    peer.provedAt.reset();
+    peer.confirmedAt.reset();
     peer.proofWaiting.reset();
     return;
   }
-  auto heard = heartbeat.heard.find(own_);
-  if (heard != heartbeat.heard.end() && !peer.proofWaiting) {
+  auto heard = heartbeat.lastHeartbeatSentAt.find(own_);
+  if (heard != heartbeat.lastHeartbeatSentAt.end() && !peer.proofWaiting) {
     peer.proofWaiting = Instant{heard->second};
     peer.proofNeeds = heartbeat.safe;
   }
@@ -193,7 +194,7 @@
 
 void SequencedGroup::settleProof(Peer& peer) {
   if (!peer.proofWaiting || delivered_ < peer.proofNeeds) return;
-  peer.provedAt = std::max(peer.provedAt.value_or(Instant::min()), *peer.proofWaiting);
+  peer.confirmedAt = std::max(peer.confirmedAt.value_or(Instant::min()), *peer.proofWaiting);
   peer.proofWaiting.reset();
 }
 
@@ -204,22 +205,22 @@
   considerForming();
 }
 
-std::optional<Instant> SequencedGroup::provedAt() const {
+std::optional<Instant> SequencedGroup::viewConfirmedAt() const {
   if (flushing_ || members_.empty()) return std::nullopt;
   Instant proved = clock_.now();
   for (const auto& member : members_) {
     if (member == own_) continue;
     auto found = peers_.find(member.server.address);
-    if (found == peers_.end() || found->second.heartbeat.from != member || !found->second.provedAt) return std::nullopt;
-    proved = std::min(proved, *found->second.provedAt);
+    if (found == peers_.end() || found->second.heartbeat.from != member || !found->second.confirmedAt) return std::nullopt;
+    proved = std::min(proved, *found->second.confirmedAt);
   }
   return proved;
 }
 
-std::set<ServerId> SequencedGroup::unjoined() const {
+std::set<ServerId> SequencedGroup::unjoinedServers() const {
   std::set<ServerId> servers;
   for (const auto& [address, peer] : peers_)
-    if (!peer.heartbeat.joined && clock_.now() - peer.heardAt <= timings_.suspicion) servers.insert(peer.heartbeat.from.server);
+    if (!peer.heartbeat.joined && clock_.now() - peer.heardAt <= timings_.suspicionTimeout) servers.insert(peer.heartbeat.from.server);
   return servers;
 }
 
@@ -227,8 +228,8 @@
   std::set<Member> members{own_};
   if (retiring_ || (listener_ && listener_->suspended())) return members;
   for (const auto& [address, peer] : peers_) {
-    if (!peer.heartbeat.joined || clock_.now() - peer.heardAt > timings_.suspicion) continue;
-    if (!peer.heartbeat.heard.contains(own_) || peer.heartbeat.retiring) continue;
+    if (!peer.heartbeat.joined || clock_.now() - peer.heardAt > timings_.suspicionTimeout) continue;
+    if (!peer.heartbeat.lastHeartbeatSentAt.contains(own_) || peer.heartbeat.retiring) continue;
     if (peer.refusedUntil && *peer.refusedUntil > clock_.now()) continue;
     if (peer.endedAt && *peer.endedAt >= peer.heardAt) continue;
     members.insert(peer.heartbeat.from);
@@ -250,7 +251,7 @@
       order(submit);
     });
   else
-    send(members_.begin()->server.address, Matter::groupSubmit, submit);
+    send(members_.begin()->server.address, MessageType::groupSubmit, submit);
 }
 
 void SequencedGroup::onSubmit(const GroupSubmit& submit) {
@@ -263,7 +264,7 @@
   GroupOrdered ordered{Delivery{view_, ++lastSequence_, submit.from.server, submit.payload, submit.durable}, submit.number};
   ordered_.emplace(lastSequence_, ordered);
   for (const auto& member : members_)
-    if (member != own_) send(member.server.address, Matter::groupOrdered, ordered);
+    if (member != own_) send(member.server.address, MessageType::groupOrdered, ordered);
   hold(ordered);
 }
 
@@ -290,7 +291,7 @@
   if (isSequencer())
     recordAck(own_, stable_);
   else
-    send(members_.begin()->server.address, Matter::groupAcked, GroupMark{view_, own_, stable_});
+    send(members_.begin()->server.address, MessageType::groupAcked, GroupMark{view_, own_, stable_});
 }
 
 void SequencedGroup::onAcked(const GroupMark& mark) {
@@ -306,7 +307,7 @@
   }
   if (everyone <= safe_) return;
   for (const auto& each : members_)
-    if (each != own_) send(each.server.address, Matter::groupSafe, GroupMark{view_, own_, everyone});
+    if (each != own_) send(each.server.address, MessageType::groupSafe, GroupMark{view_, own_, everyone});
   ordered_.erase(ordered_.begin(), ordered_.upper_bound(everyone));
   advanceSafe(everyone);
 }
--- a/src/group/sequenced_group.hpp
+++ b/src/group/sequenced_group.hpp
@@ -18,17 +18,17 @@
 
   void join(GroupListener& listener) override;
   void multicast(const ViewId& view, std::string payload, bool durable) override;
-  std::optional<Instant> provedAt() const override;
-  std::set<ServerId> unjoined() const override;
+  std::optional<Instant> viewConfirmedAt() const override;
+  std::set<ServerId> unjoinedServers() const override;
 
   void meet(const std::set<Address>& addresses);
   /// Leaves the view and stays alone until the process ends; the others hear of it with the next heartbeat.
   void retire();
-  void setFoundation(std::set<ServerId> foundation);
+  void setFoundingMembers(std::set<ServerId> foundingMembers);
   std::optional<std::set<ServerId>> unjoinedSeeds() const;
-  std::optional<std::set<ServerId>> agreedFoundation() const;
+  std::optional<std::set<ServerId>> agreedFoundingMembers() const;
   std::vector<Address> joinedPeers() const;
-  const std::set<Address>& known() const { return known_; }
+  const std::set<Address>& knownAddresses() const { return known_; }
   const ViewId& view() const { return view_; }
 
  private:
@@ -38,7 +38,7 @@
     std::optional<Instant> refusedUntil;
     /// When its machine said that its process has ended.
     std::optional<Instant> endedAt;
-    std::optional<Instant> provedAt;
+    std::optional<Instant> confirmedAt;
     std::optional<Instant> proofWaiting;
     std::uint64_t proofNeeds = 0;
     std::uint64_t receivedBefore = 0;
@@ -57,9 +57,9 @@
   };
 
   template <class Body>
-  void route(Matter matter, void (SequencedGroup::*handler)(const Body&));
+  void route(MessageType matter, void (SequencedGroup::*handler)(const Body&));
   template <class Body>
-  void send(const Address& peer, Matter matter, const Body& body) {
+  void send(const Address& peer, MessageType matter, const Body& body) {
     link_.pass(peer, Envelope{matter, packed(body)});
   }
 
@@ -107,7 +107,7 @@
   GroupTimings timings_;
   GroupListener* listener_ = nullptr;
   std::set<Address> known_;
-  std::set<ServerId> foundation_;
+  std::set<ServerId> foundingMembers_;
   std::map<Address, Peer> peers_;
 
   ViewId view_;
--- a/src/group/view_forming.cpp
+++ b/src/group/view_forming.cpp
@@ -22,16 +22,16 @@
 
 // nobody is waited for when all are here at last, and a set that could do nothing alone waits longer
 Duration SequencedGroup::settlesIn(const std::set<Member>& candidates) const {
-  if (candidates == members_) return timings_.settle;
+  if (candidates == members_) return timings_.settleDuration;
   std::set<ServerId> servers;
   for (const auto& member : candidates) servers.insert(member.server);
   switch (listener_->coverage(servers)) {
     case Coverage::all:
       return Duration::zero();
     case Coverage::majority:
-      return 2 * timings_.settle;
+      return 2 * timings_.settleDuration;
     default:
-      return 3 * timings_.settle;
+      return 3 * timings_.settleDuration;
   }
 }
 
@@ -42,12 +42,12 @@
     for (const auto& member : forming_->members)
       if (!forming_->flushed.contains(member)) {
         auto found = peers_.find(member.server.address);
-        if (found != peers_.end()) found->second.refusedUntil = now + 2 * timings_.suspicion;
+        if (found != peers_.end()) found->second.refusedUntil = now + 2 * timings_.suspicionTimeout;
       }
     forming_.reset();
   }
   auto candidates = reachable();
-  bool waitingForInstall = flushing_ && promised_.coordinator != own_ && now - flushedAt_ < 2 * timings_.flush;
+  bool waitingForInstall = flushing_ && promised_.coordinator != own_ && now - flushedAt_ < 2 * timings_.flushTimeout;
   if (forming_ || waitingForInstall || *candidates.begin() != own_ || !needsNewView(candidates)) {
     unsettledSince_.reset();
     return;
@@ -63,17 +63,17 @@
   if (!forming_) return;
   for (const auto& member : forming_->members)
     if (member != own_ && !forming_->flushed.contains(member))
-      send(member.server.address, Matter::groupPrepare, GroupPrepare{forming_->proposed, forming_->members});
+      send(member.server.address, MessageType::groupPrepare, GroupPrepare{forming_->proposed, forming_->members});
 }
 
 void SequencedGroup::startForming(std::set<Member> members) {
   unsettledSince_.reset();
   ViewId proposed{std::max(highestCounter_, promised_.counter) + 1, own_};
   journal_.count("group.views_proposed");
-  forming_ = Forming{proposed, members, {}, clock_.now() + timings_.flush};
+  forming_ = Forming{proposed, members, {}, clock_.now() + timings_.flushTimeout};
   GroupPrepare prepare{proposed, members};
   for (const auto& member : members)
-    if (member != own_) send(member.server.address, Matter::groupPrepare, prepare);
+    if (member != own_) send(member.server.address, MessageType::groupPrepare, prepare);
   onPrepare(prepare);
 }
 
@@ -93,7 +93,7 @@
   if (promised_.coordinator == own_)
     onFlushed(flushed);
   else
-    send(promised_.coordinator.server.address, Matter::groupFlushed, flushed);
+    send(promised_.coordinator.server.address, MessageType::groupFlushed, flushed);
 }
 
 void SequencedGroup::onFlushed(const GroupFlushed& flushed) {
@@ -113,7 +113,7 @@
   auto members = forming_->members;
   forming_.reset();
   for (const auto& member : members)
-    if (member != own_) send(member.server.address, Matter::groupInstall, install);
+    if (member != own_) send(member.server.address, MessageType::groupInstall, install);
   onInstall(install);
 }
 
@@ -139,14 +139,14 @@
   unordered_.clear();
   received_ = stable_ = safe_ = delivered_ = lastSequence_ = lastNumber_ = 0;
   for (auto& [address, peer] : peers_) {
-    peer.provedAt.reset();
+    peer.confirmedAt.reset();
     peer.proofWaiting.reset();
   }
   journal_.count("group.views_installed");
   Configuration configuration{view_, {}};
   std::string names;
   for (const auto& member : members_) {
-    configuration.set.insert(member.server);
+    configuration.members.insert(member.server);
     names += ' ';
     names += text(member.server);
   }
--- a/src/programs/replica.cpp
+++ b/src/programs/replica.cpp
@@ -20,8 +20,8 @@
   program.add(seedsSetting(settings.seeds));
   program.add(textSetting("data", "data folder", folder, true));
   program.add(reread(addressSetting("platform", "address of the platform that carries out promotions", platform)));
-  program.add(
-      reread(numberSetting("store-length", "bytes after which the store is rewritten", settings.bounds.storeLength, 65536, 1u << 30)));
+  program.add(reread(
+      numberSetting("store-length", "bytes after which the store is rewritten", settings.bounds.rewriteThresholdBytes, 65536, 1u << 30)));
   program.add(rationsSetting(settings.rations));
   program.add(detoursSetting(detours));
   program.add(timingSettings(settings.timings));
--- a/src/real/tcp_link.cpp
+++ b/src/real/tcp_link.cpp
@@ -47,7 +47,7 @@
   auto size = static_cast<std::uint32_t>(envelope.body.size() + 1);
   std::string frame(4, '\0');
   std::memcpy(frame.data(), &size, 4);
-  frame.push_back(static_cast<char>(envelope.matter));
+  frame.push_back(static_cast<char>(envelope.type));
   frame += envelope.body;
   return frame;
 }
@@ -110,7 +110,7 @@
     auto body = std::make_shared<std::string>();
     bool whole = co_await receiveBody(*socket, body, *head, from);
     if (!whole) co_return;
-    Envelope envelope{static_cast<Matter>(body->front()), body->substr(1)};
+    Envelope envelope{static_cast<MessageType>(body->front()), body->substr(1)};
     if (!from) {
       auto blank = envelope.body.find(' ');
       from = Address{envelope.body.substr(0, blank)};
@@ -188,7 +188,7 @@
     socket->set_option(tcp::no_delay(true), ignored);
     breakWhenUnanswered(*socket);
     watchEnd(socket);
-    outgoing.queue.push_front(framed(Envelope{Matter{}, hello()}));
+    outgoing.queue.push_front(framed(Envelope{MessageType{}, hello()}));
     enqueued(outgoing, outgoing.queue.front().size());
     for (;;) {
       while (outgoing.queue.empty()) co_await outgoing.filled.wait(clock_);
--- a/src/scale/metered_link.cpp
+++ b/src/scale/metered_link.cpp
@@ -7,7 +7,7 @@
 MeteredLink::MeteredLink(PeerLink& inner, Traffic& traffic, PeerClass peerClass)
     : inner_(inner), traffic_(traffic), peerClass_(std::move(peerClass)) {
   for (int number = 1; number < 64; ++number) {
-    auto matter = static_cast<Matter>(number);
+    auto matter = static_cast<MessageType>(number);
     inner_.on(matter, [this, matter](const Address& from, const std::string& body) {
       Envelope envelope{matter, body};
       traffic_.in[name(from, envelope)] += Flow{1, body.size() + frameHead};
@@ -22,14 +22,14 @@
 }
 
 std::string MeteredLink::subject(const Envelope& envelope) {
-  switch (envelope.matter) {
-    case Matter::ask:
+  switch (envelope.type) {
+    case MessageType::request:
       break;
-    case Matter::reply:
+    case MessageType::reply:
       return "reply";
-    case Matter::groupHeartbeat:
+    case MessageType::groupHeartbeat:
       return "group-heartbeat";
-    case Matter::joinSnapshot:
+    case MessageType::joinSnapshot:
       return "snapshot";
     default:
       return "group";
@@ -40,7 +40,7 @@
   };
   auto handle = msgpack::unpack(envelope.body.data(), envelope.body.size(), referenced, reference);
   const auto& object = handle.get();
-  constexpr std::size_t subjectOfAsk = 2;  // as DeskAsk lays its fields
+  constexpr std::size_t subjectOfAsk = 2;  // as PeerRequest lays its fields
   if (object.type != msgpack::type::ARRAY || object.via.array.size <= subjectOfAsk) return "ask";
   return object.via.array.ptr[subjectOfAsk].as<std::string>();
 }
--- a/src/scale/pieces.cpp
+++ b/src/scale/pieces.cpp
@@ -10,7 +10,7 @@
 #include "control/share_cut.hpp"
 #include "group/group_messages.hpp"
 #include "scale/scale_plan.hpp"
-#include "wire/desk_messages.hpp"
+#include "wire/peer_request.hpp"
 
 namespace tamarindshift {
 
@@ -34,7 +34,7 @@
 }
 
 std::string asked(std::string subject, std::string body) {
-  return packed(DeskAsk{1u << 30, ~0ull, std::move(subject), std::move(body)});
+  return packed(PeerRequest{1u << 30, ~0ull, std::move(subject), std::move(body)});
 }
 
 class Pieces {
@@ -141,7 +141,7 @@
         for (std::size_t number = 1; number <= shape_.databasesPerService; ++number)
           own.signs.push_back(DatabaseSign{"d" + std::to_string(number), "replica", 2, 123456, 150ms, 120ms});
     }
-    return packed(DeskReply{1u << 30, ~0ull, packed(reply)}).size();
+    return packed(PeerReply{1u << 30, ~0ull, packed(reply)}).size();
   }
 
   std::map<Topic, std::uint64_t> marks() const {
@@ -236,8 +236,8 @@
     heartbeat.view.coordinator = heartbeat.from;
     heartbeat.sentAt = 1h;
     for (std::size_t index = 1; index < shape_.replicas; ++index) {
-      heartbeat.heard[Member{ServerId{addresses_.replica(index), Incarnation{1ull << 60}}, Boot{1ull << 60}}] = 1h;
-      heartbeat.known.insert(addresses_.replica(index));
+      heartbeat.lastHeartbeatSentAt[Member{ServerId{addresses_.replica(index), Incarnation{1ull << 60}}, Boot{1ull << 60}}] = 1h;
+      heartbeat.knownAddresses.insert(addresses_.replica(index));
     }
     note("group_heartbeat_bytes", static_cast<double>(packed(heartbeat).size()));
   }
--- a/src/scale/simulated_scale.cpp
+++ b/src/scale/simulated_scale.cpp
@@ -150,7 +150,7 @@
 std::optional<std::size_t> SimulatedScale::onDuty() const {
   for (std::size_t index = 0; index < replicas_.size(); ++index) {
     const auto* node = replicas_[index]->node.get();
-    auto proved = node && node->duties().onDuty() ? node->engine().provedAt() : std::nullopt;
+    auto proved = node && node->duties().onDuty() ? node->engine().primaryConfirmedAt() : std::nullopt;
     if (proved && world_.now() - *proved < 400ms) return index;
   }
   return std::nullopt;
--- a/src/simulated/never_list.cpp
+++ b/src/simulated/never_list.cpp
@@ -42,7 +42,7 @@
 
 const std::map<std::string, std::string>* NeverList::primaryData(const ServiceName& service) const {
   for (const auto& replica : fleet_.replicas()) {
-    if (!replica->node || replica->clock->frozen() || !replica->node->engine().provedAt()) continue;
+    if (!replica->node || replica->clock->frozen() || !replica->node->engine().primaryConfirmedAt()) continue;
     const auto& state = replica->node->state();
     auto held = state.services().find(service);
     if (held == state.services().end() || !held->second.promoted) continue;
@@ -126,7 +126,7 @@
   }
   if (!highest) return;
   for (const auto& replica : fleet_.replicas()) {
-    if (!replica->node || replica->clock->frozen() || !replica->node->engine().provedAt()) continue;
+    if (!replica->node || replica->clock->frozen() || !replica->node->engine().primaryConfirmedAt()) continue;
     const auto& state = replica->node->state();
     if (!state.plan() || state.plan()->mark.get() < highest->mark)
       fault("acknowledged plan " + std::to_string(highest->mark) + " is gone at " + replica->host);
--- a/src/simulated/simulated_fleet.cpp
+++ b/src/simulated/simulated_fleet.cpp
@@ -383,8 +383,9 @@
   std::set<ViewId> views;
   for (const auto& replica : replicas_)
     if (replica->node && !replica->clock->frozen()) {
-      auto proved = replica->node->engine().provedAt();
-      if (proved && world_.now() - *proved < 100ms + shape_.timings.group.heartbeat) views.insert(replica->node->engine().conf().confId);
+      auto proved = replica->node->engine().primaryConfirmedAt();
+      if (proved && world_.now() - *proved < 100ms + shape_.timings.group.heartbeatInterval)
+        views.insert(replica->node->engine().conf().confId);
     }
   return views.size();
 }
--- a/src/simulated/simulated_store.hpp
+++ b/src/simulated/simulated_store.hpp
@@ -13,8 +13,8 @@
   void append(const std::string& record) override;
   void sync(std::function<void()> synced) override;
   void rewrite(const std::vector<std::string>& records) override;
-  std::size_t length() const override { return length_; }
-  bool refusing() const override { return refusing_; }
+  std::size_t sizeBytes() const override { return length_; }
+  bool refusesWrites() const override { return refusing_; }
   const std::string& lastReason() const override { return reason_; }
   void slow(Duration latency) { latency_ = latency; }
   /// From now on the disk refuses writes, or takes them again.
--- a/src/store/stable_store.hpp
+++ b/src/store/stable_store.hpp
@@ -23,9 +23,9 @@
   /// Puts `records` in place of everything held so far, in one step.
   virtual void rewrite(const std::vector<std::string>& records) = 0;
   /// Bytes of all records.
-  virtual std::size_t length() const = 0;
+  virtual std::size_t sizeBytes() const = 0;
   /// Whether the disk refused the last write and holds less than was appended.
-  virtual bool refusing() const = 0;
+  virtual bool refusesWrites() const = 0;
   virtual const std::string& lastReason() const = 0;
 };
 
--- a/src/wire/envelope.hpp
+++ b/src/wire/envelope.hpp
@@ -5,7 +5,7 @@
 
 namespace tamarindshift {
 
-enum class Matter : std::uint8_t {
+enum class MessageType : std::uint8_t {
   groupHeartbeat = 1,
   groupSubmit = 2,
   groupOrdered = 3,
@@ -14,15 +14,15 @@
   groupPrepare = 6,
   groupFlushed = 7,
   groupInstall = 8,
-  joinAsk = 16,
+  joinRequest = 16,
   joinSnapshot = 17,
-  leftNotice = 18,
-  ask = 32,
+  removalNotice = 18,
+  request = 32,
   reply = 33,
 };
 
 struct Envelope {
-  Matter matter{};
+  MessageType type{};
   std::string body;
 };
 
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -26,7 +26,7 @@
   fleet.run(12s);
   auto faults = NeverList(fleet).check();
   std::size_t proved = 0;
-  for (const auto& replica : fleet.replicas()) proved += replica->node->engine().provedAt().has_value();
+  for (const auto& replica : fleet.replicas()) proved += replica->node->engine().primaryConfirmedAt().has_value();
   if (proved != 3) faults.push_back("only " + std::to_string(proved) + " replicas are back");
   for (const auto& plan : fleet.plans().all())
     if (plan.status == 0 && plan.endedAt == Instant{}) faults.push_back("an operator got no reply");
--- a/tests/checkers_test.cpp
+++ b/tests/checkers_test.cpp
@@ -46,7 +46,7 @@
     for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
     cluster.run(4s);
   }
-  cluster.judge();
+  cluster.verify();
   return cluster.faults.size();
 }
 
--- a/tests/construct_test.cpp
+++ b/tests/construct_test.cpp
@@ -44,9 +44,9 @@
   cluster.run(6s);
   for (std::size_t index = 0; index < 3; ++index) cluster.submit(index);
   cluster.run(2s);
-  cluster.judge();
-  if (cluster.inPrimary() != 3)
-    cluster.faults.push_back("only " + std::to_string(cluster.inPrimary()) + " are back in a primary component");
+  cluster.verify();
+  if (cluster.primaryMemberCount() != 3)
+    cluster.faults.push_back("only " + std::to_string(cluster.primaryMemberCount()) + " are back in a primary component");
   return cluster.faults;
 }
 
@@ -81,10 +81,10 @@
   for (std::size_t index = 0; index < 3; ++index) cluster.kill(index);
   cluster.start(1);
   cluster.run(5s);
-  CHECK(cluster.inPrimary() == 0);
+  CHECK(cluster.primaryMemberCount() == 0);
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(5s);
-  CHECK(cluster.inPrimary() == 3);
+  CHECK(cluster.primaryMemberCount() == 3);
 }
 
 TEST_CASE("what an installer made green before its disk was lost keeps its place in Un") {
@@ -101,7 +101,7 @@
     separate(0, 2);
     separate(1, 2);
     cluster.run(2s);
-    REQUIRE(cluster.inPrimary() == 0);
+    REQUIRE(cluster.primaryMemberCount() == 0);
     cluster.submit(2);
     cluster.run(100ms);
     cluster.network.healAll();
@@ -120,11 +120,11 @@
     cluster.network.healAll();
     cluster.start(0);
     cluster.run(6s);
-    cluster.judge();
+    cluster.verify();
     INFO("seed " << seed);
     for (const auto& fault : cluster.faults) UNSCOPED_INFO(fault);
     REQUIRE(cluster.faults.empty());
-    REQUIRE(cluster.inPrimary() == 3);
+    REQUIRE(cluster.primaryMemberCount() == 3);
   }
   CHECK(tried > 0);
 }
--- a/tests/core_model.hpp
+++ b/tests/core_model.hpp
@@ -22,7 +22,7 @@
     bool majorityOfLastPrimary = true;  ///< ReplicationEngine::isQuorum, dynamic linear voting
     bool vulnerableBlocks = true;       ///< ReplicationEngine::isQuorum, vulnerable members
     bool syncBeforeReceipt = true;      ///< ReplicationEngine::received
-    bool proofBeforeServing = true;     ///< SequencedGroup::provedAt
+    bool proofBeforeServing = true;     ///< SequencedGroup::viewConfirmedAt
     bool spareBeforeLeave = true;       ///< MemberReplacement::spare
     bool digestOfVersion = true;        ///< VersionLedger::judge
   };
--- a/tests/desk_test.cpp
+++ b/tests/desk_test.cpp
@@ -5,7 +5,7 @@
 #include "base/desk.hpp"
 #include "simulated/simulated_clock.hpp"
 #include "simulated/simulated_link.hpp"
-#include "wire/desk_messages.hpp"
+#include "wire/peer_request.hpp"
 
 using namespace tamarindshift;
 
@@ -26,8 +26,8 @@
 
 struct Exchange {
   Exchange() : network(world), clock(world), server(network, clock, serverAt), stranger(network, clock, strangerAt) {
-    server.on(Matter::ask, [this](const Address&, const std::string& bytes) {
-      asked.push_back(*unpacked<DeskAsk>(bytes));
+    server.on(MessageType::request, [this](const Address&, const std::string& bytes) {
+      asked.push_back(*unpacked<PeerRequest>(bytes));
     });
     start(1);
   }
@@ -46,8 +46,8 @@
     scope.spawn(asking(body, replies, replies.size() - 1));
     run(5ms);
   }
-  void reply(SimulatedLink& from, const DeskAsk& ask, const std::string& body) {
-    from.pass(callerAt, Envelope{Matter::reply, packed(DeskReply{ask.attempt, ask.boot, body})});
+  void reply(SimulatedLink& from, const PeerRequest& ask, const std::string& body) {
+    from.pass(callerAt, Envelope{MessageType::reply, packed(PeerReply{ask.attempt, ask.boot, body})});
   }
   void run(Duration duration) { world.runUntil(world.now() + duration); }
 
@@ -57,7 +57,7 @@
   SimulatedLink server;
   SimulatedLink stranger;
   std::unique_ptr<Caller> caller;
-  std::vector<DeskAsk> asked;
+  std::vector<PeerRequest> asked;
   std::vector<std::optional<std::string>> replies = [] {
     std::vector<std::optional<std::string>> room;
     room.reserve(16);
--- a/tests/engine_catch_up_test.cpp
+++ b/tests/engine_catch_up_test.cpp
@@ -44,7 +44,7 @@
   /// A member that proves itself has everything that was acknowledged before the moment of its proof.
   void checkProof(std::size_t index) {
     if (!up(index)) return;
-    auto proved = engine(index).provedAt();
+    auto proved = engine(index).primaryConfirmedAt();
     if (!proved) return;
     const auto& applied = nodes[index]->application->applied;
     std::set<std::string> held(applied.begin(), applied.end());
@@ -73,10 +73,10 @@
 
   void finish() {
     run(2s);
-    judge();
+    verify();
     for (const auto& fault : faults) UNSCOPED_INFO(fault);
     CHECK(faults.empty());
-    CHECK(inPrimary() == 3);
+    CHECK(primaryMemberCount() == 3);
   }
 };
 
@@ -109,7 +109,7 @@
     for (auto offset = 0ms; offset <= 1200ms; offset += 40ms) {
       INFO("the leader is lost " << offset.count() << " ms into it, disk " << static_cast<int>(how));
       EngineBounds bounds;
-      bounds.greenKept = 50;
+      bounds.maxGreenKept = 50;
       CatchUp cluster(40 + static_cast<std::uint64_t>(offset.count()), bounds);
       cluster.away(2, how);
       cluster.run(1s);
@@ -133,9 +133,9 @@
 
 TEST_CASE("a whole state of many megabytes reaches a member with an empty disk") {
   EngineBounds bounds;
-  bounds.greenKept = 10;
+  bounds.maxGreenKept = 10;
   CatchUp cluster(31, bounds);
-  cluster.padding = 100'000;
+  cluster.paddingBytes = 100'000;
   cluster.away(1, Return::emptyDisk);
   cluster.run(1s);
   cluster.change(80);
@@ -146,14 +146,14 @@
 
 TEST_CASE("the log on disk and the actions kept in memory stay within their bounds over thousands of changes") {
   EngineBounds bounds;
-  bounds.storeLength = 100'000;
+  bounds.rewriteThresholdBytes = 100'000;
   CatchUp cluster(31, bounds);
   cluster.change(3000);
   for (std::size_t index = 0; index < 3; ++index) {
     std::size_t bytes = 0;
     for (const auto& record : cluster.nodes[index]->disk.synced) bytes += record.size();
-    CHECK(bytes < 4 * cluster.bounds.storeLength);
-    CHECK(cluster.engine(index).whiteLine() + cluster.bounds.greenKept >= cluster.engine(index).greenLine());
+    CHECK(bytes < 4 * cluster.bounds.rewriteThresholdBytes);
+    CHECK(cluster.engine(index).whiteLine() + cluster.bounds.maxGreenKept >= cluster.engine(index).greenLine());
   }
   cluster.finish();
 }
--- a/tests/engine_cluster.cpp
+++ b/tests/engine_cluster.cpp
@@ -55,7 +55,7 @@
   auto& own = *nodes[index];
   for (;;) {
     const auto& engine = own.core->engine();
-    bool leads = engine.state() == EngineState::regPrim && *engine.conf().set.begin() == own.core->own();
+    bool leads = engine.state() == EngineState::regPrim && *engine.conf().members.begin() == own.core->serverId();
     if (leads) own.replacement->review();
     co_await sleep(*own.clock, 100ms);
   }
@@ -66,9 +66,9 @@
   note("stop " + std::to_string(index + 1));
   auto& core = *nodes[index]->core;
   auto deadline = world.now() + 4s;
-  while (world.now() < deadline && !MemberReplacement::othersHoldAll(core.engine(), core.own(), losses)) run(25ms);
-  if (leavesWhenSpare && MemberReplacement::spare(core.engine(), core.own(), losses)) core.engine().requestLeave(core.own());
-  while (leavesWhenSpare && world.now() < deadline && MemberReplacement::spare(core.engine(), core.own(), losses)) run(25ms);
+  while (world.now() < deadline && !MemberReplacement::othersHoldAll(core.engine(), core.serverId(), losses)) run(25ms);
+  if (leavesWhenSpare && MemberReplacement::spare(core.engine(), core.serverId(), losses)) core.engine().requestLeave(core.serverId());
+  while (leavesWhenSpare && world.now() < deadline && MemberReplacement::spare(core.engine(), core.serverId(), losses)) run(25ms);
   core.retire();
   run(200ms);
   kill(index);
@@ -85,7 +85,7 @@
     if (record->kind == EngineRecordKind::red || record->kind == EngineRecordKind::ongoing) add(record->body);
     if (record->kind == EngineRecordKind::received)
       if (auto delivery = unpacked<Delivery>(record->body))
-        if (auto message = unpacked<EngineMessage>(delivery->payload); message && message->matter == EngineMatter::action)
+        if (auto message = unpacked<EngineMessage>(delivery->payload); message && message->type == EngineMessageType::action)
           add(message->body);
     if (record->kind == EngineRecordKind::snapshot)
       if (auto snapshot = unpacked<EngineSnapshot>(record->body))
@@ -108,17 +108,17 @@
 }
 
 void EngineCluster::submit(std::size_t index) {
-  if (up(index)) scopes_[index]->spawn(submitAndWait(index, "u" + std::to_string(++submitted) + std::string(padding, 'x')));
+  if (up(index)) scopes_[index]->spawn(submitAndWait(index, "u" + std::to_string(++submitted) + std::string(paddingBytes, 'x')));
 }
 
 Task<void> EngineCluster::submitAndWait(std::size_t index, std::string update) {
   auto outcome = co_await nodes[index]->core->engine().order(update, world.now() + 4s);
-  if (outcome.fate != OrderFate::green) co_return;
+  if (outcome.status != OrderStatus::green) co_return;
   acknowledged[update] = outcome.position;
   acknowledgedAt[update] = world.now();
 }
 
-std::size_t EngineCluster::inPrimary() const {
+std::size_t EngineCluster::primaryMemberCount() const {
   return static_cast<std::size_t>(std::count_if(nodes.begin(), nodes.end(), [](const auto& node) {
     return node->core && node->core->engine().state() == EngineState::regPrim;
   }));
@@ -137,7 +137,7 @@
   lines.push_back(std::to_string(milliseconds(world.now().time_since_epoch()).count()) + "ms " + text);
 }
 
-void EngineCluster::judge() {
+void EngineCluster::verify() {
   std::set<std::string> seen;
   for (const auto& [position, update] : order)
     if (!seen.insert(update).second) faults.push_back(update + " is green twice");
--- a/tests/engine_cluster.hpp
+++ b/tests/engine_cluster.hpp
@@ -55,9 +55,9 @@
   void submit(std::size_t index);
   void run(Duration duration) { world.runUntil(world.now() + duration); }
   std::string host(std::size_t index) const { return "10.0.0." + std::to_string(index + 1); }
-  std::size_t inPrimary() const;
+  std::size_t primaryMemberCount() const;
   void observe(std::size_t index, std::uint64_t position, const std::string& update);
-  void judge();
+  void verify();
   void note(const std::string& text);
 
   std::function<std::unique_ptr<SimulatedStore>(Clock&, SimulatedDisk&)> makeStore;
@@ -68,7 +68,7 @@
   std::map<std::string, std::uint64_t> acknowledged;
   std::map<std::string, Instant> acknowledgedAt;
   // bytes that each update is padded with
-  std::size_t padding = 0;
+  std::size_t paddingBytes = 0;
   std::vector<std::string> faults;
   std::vector<std::string> lines;
   std::uint64_t submitted = 0;
--- a/tests/engine_disk_test.cpp
+++ b/tests/engine_disk_test.cpp
@@ -16,11 +16,11 @@
   }
   SimulatedStore& store(std::size_t index) { return *nodes[index]->store; }
   const ReplicationEngine& engine(std::size_t index) { return nodes[index]->core->engine(); }
-  bool allInPrimary() const { return inPrimary() == nodes.size(); }
+  bool allInPrimary() const { return primaryMemberCount() == nodes.size(); }
 };
 
 void checkFaults(EngineCluster& cluster) {
-  cluster.judge();
+  cluster.verify();
   for (const auto& fault : cluster.faults) UNSCOPED_INFO(fault);
   CHECK(cluster.faults.empty());
 }
@@ -38,10 +38,10 @@
       cluster.run(100ms);
     }
     CHECK(cluster.acknowledged.size() > before + 15);
-    CHECK(cluster.inPrimary() == 2);
+    CHECK(cluster.primaryMemberCount() == 2);
     CHECK(cluster.engine(full).state() != EngineState::regPrim);
     CHECK(cluster.engine(full).diskFault());
-    CHECK_FALSE(cluster.engine(full).provedAt());
+    CHECK_FALSE(cluster.engine(full).primaryConfirmedAt());
     cluster.store(full).refuse(false);
     cluster.run(3s);
     CHECK(cluster.allInPrimary());
@@ -63,8 +63,8 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     INFO("seed " << seed);
     EngineCluster cluster(3, seed);
-    cluster.bounds.greenKept = 5;
-    cluster.bounds.storeLength = 5'000;
+    cluster.bounds.maxGreenKept = 5;
+    cluster.bounds.rewriteThresholdBytes = 5'000;
     for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
     cluster.run(3s);
     for (int round = 0; round < 25; ++round) {
@@ -81,7 +81,7 @@
       cluster.run(Duration{cluster.world.below(2'000'000)});
     }
     cluster.run(5s);
-    CHECK(cluster.inPrimary() == 3);
+    CHECK(cluster.primaryMemberCount() == 3);
     CHECK(cluster.acknowledged.size() > 20);
     checkFaults(cluster);
   }
--- a/tests/engine_replacement_test.cpp
+++ b/tests/engine_replacement_test.cpp
@@ -21,8 +21,8 @@
 struct Replacement : EngineCluster {
   Replacement(std::size_t members, std::size_t slots, std::uint64_t seed) : EngineCluster(slots, seed) {
     losses = (members - 1) / 2;
-    bounds.greenKept = 10;
-    bounds.storeLength = 10'000;
+    bounds.maxGreenKept = 10;
+    bounds.rewriteThresholdBytes = 10'000;
     for (std::size_t index = 0; index < members; ++index) begin(index);
     run(3s);
     work(500ms);
@@ -82,7 +82,7 @@
     std::size_t behind = 0;
     for (auto index : serving) {
       bool fresh = startedAt.contains(index) && world.now() - startedAt.at(index) < catchUp;
-      bool counts = up(index) && members.contains(nodes[index]->core->own());
+      bool counts = up(index) && members.contains(nodes[index]->core->serverId());
       if (fresh || !counts) ++behind;
       if (!counts && up(index)) continue;
       for (const auto& update : synced(index)) ++copies[update];
@@ -107,7 +107,7 @@
     if (acknowledged.size() == before) faults.push_back("nothing is acknowledged at the end");
     // what one member has green reaches the others a moment later
     run(200ms);
-    judge();
+    verify();
   }
 
   std::set<std::size_t> serving;
--- a/tests/engine_schedules_test.cpp
+++ b/tests/engine_schedules_test.cpp
@@ -16,7 +16,7 @@
   std::set<std::size_t> lost;
 
   void settled() {
-    if (cluster.inPrimary() == cluster.nodes.size()) lost.clear();
+    if (cluster.primaryMemberCount() == cluster.nodes.size()) lost.clear();
   }
 
   void step() {
@@ -78,8 +78,8 @@
 
 std::vector<std::string> randomSchedule(std::uint64_t seed, std::size_t size, bool losesDisks, std::size_t greenKept) {
   EngineCluster cluster(size, seed);
-  cluster.bounds.greenKept = greenKept;
-  cluster.bounds.storeLength = 20'000;
+  cluster.bounds.maxGreenKept = greenKept;
+  cluster.bounds.rewriteThresholdBytes = 20'000;
   for (std::size_t index = 0; index < size; ++index) cluster.start(index);
   cluster.run(3s);
   Schedule schedule{cluster, losesDisks, {}};
@@ -92,9 +92,9 @@
     cluster.run(Duration{cluster.world.below(900'000)});
   }
   schedule.finish();
-  cluster.judge();
-  if (cluster.inPrimary() != size)
-    cluster.faults.push_back("only " + std::to_string(cluster.inPrimary()) + " of " + std::to_string(size) +
+  cluster.verify();
+  if (cluster.primaryMemberCount() != size)
+    cluster.faults.push_back("only " + std::to_string(cluster.primaryMemberCount()) + " of " + std::to_string(size) +
                              " are in a primary component at the end");
   if (cluster.acknowledged.size() < 10)
     cluster.faults.push_back("only " + std::to_string(cluster.acknowledged.size()) + " actions were acknowledged");
--- a/tests/group_history.cpp
+++ b/tests/group_history.cpp
@@ -19,9 +19,9 @@
     if (!own.stretches.back().transitional) fault("no transitional configuration before a regular one");
     if (configuration.confId <= own.stretches.back().configuration.confId) fault("a view that does not rise");
   }
-  if (!configuration.set.contains(own.server)) fault("a view without its own member");
-  auto [known, fresh] = members_.emplace(configuration.confId, configuration.set);
-  if (!fresh && known->second != configuration.set) fault("members of one view differ");
+  if (!configuration.members.contains(own.server)) fault("a view without its own member");
+  auto [known, fresh] = members_.emplace(configuration.confId, configuration.members);
+  if (!fresh && known->second != configuration.members) fault("members of one view differ");
   own.stretches.push_back(GroupStretch{configuration, {}, {}, {}, 0, std::nullopt});
 }
 
@@ -32,7 +32,7 @@
   if (last.transitional) fault("two transitional configurations in a row");
   last.transitional = members;
   if (!members.contains(own.server)) fault("a transitional set without its own member");
-  if (!std::includes(last.configuration.set.begin(), last.configuration.set.end(), members.begin(), members.end()))
+  if (!std::includes(last.configuration.members.begin(), last.configuration.members.end(), members.begin(), members.end()))
     fault("a transitional set with members from elsewhere");
 }
 
@@ -63,7 +63,7 @@
   ++last.safely;
   auto& upto = safeUpTo_[view];
   upto = std::max(upto, delivery.sequence);
-  for (const auto& member : last.configuration.set)
+  for (const auto& member : last.configuration.members)
     if (stable_[view][member] < delivery.sequence) fault("delivered as safe and not held by " + text(member));
 }
 
--- a/tests/group_schedules_test.cpp
+++ b/tests/group_schedules_test.cpp
@@ -20,12 +20,12 @@
   BreachingLink(SimulatedNetwork& network, Clock& clock, Address own, Breach breach)
       : SimulatedLink(network, clock, std::move(own)), world_(network.world()), breach_(breach) {}
   void pass(const Address& peer, Envelope envelope) override {
-    if (breach_ == Breach::changesOrder && envelope.matter == Matter::groupOrdered && world_.chance(100))
+    if (breach_ == Breach::changesOrder && envelope.type == MessageType::groupOrdered && world_.chance(100))
       if (auto ordered = unpacked<GroupOrdered>(envelope.body)) {
         ordered->delivery.payload += "!";
         envelope.body = packed(*ordered);
       }
-    if (breach_ == Breach::forgetsHeld && envelope.matter == Matter::groupInstall)
+    if (breach_ == Breach::forgetsHeld && envelope.type == MessageType::groupInstall)
       if (auto install = unpacked<GroupInstall>(envelope.body)) {
         for (auto& [view, branch] : install->branches) branch.held.clear();
         envelope.body = packed(*install);
@@ -56,7 +56,7 @@
   std::size_t members() const { return members_; }
 
   void regularConfiguration(const Configuration& configuration) override {
-    members_ = configuration.set.size();
+    members_ = configuration.members.size();
     history_.regular(life_, configuration);
   }
   void transitionalConfiguration(const std::set<ServerId>& members) override { history_.transitional(life_, members); }
--- a/tests/large_changes_test.cpp
+++ b/tests/large_changes_test.cpp
@@ -55,14 +55,14 @@
   cluster.run(3s);
   for (int number = 0; number < changes; ++number) cluster.change((member + 1 + static_cast<std::size_t>(number) % 2) % 3);
   EngineBounds bounds;
-  for (std::size_t each = 0; each < 3; ++each) CHECK(cluster.replica(each).engine().greenKeptBytes() <= bounds.greenKeptBytes);
+  for (std::size_t each = 0; each < 3; ++each) CHECK(cluster.replica(each).engine().greenKeptBytes() <= bounds.maxGreenKeptBytes);
   auto before = cluster.network.passedBytes();
   cluster.apart(member, false);
   REQUIRE(cluster.runUntil(5s, [&] {
     return cluster.level(0) && cluster.level(1) && cluster.level(2);
   }));
   // one copy to each of two members, and what was submitted
-  CHECK(cluster.network.passedBytes() - before < 3 * bounds.greenKeptBytes);
+  CHECK(cluster.network.passedBytes() - before < 3 * bounds.maxGreenKeptBytes);
   cluster.change(0);
   cluster.run(1s);
   CHECK((cluster.level(0) && cluster.level(1) && cluster.level(2)));
@@ -72,16 +72,16 @@
   LargeChanges cluster;
   for (int number = 0; number < 200; ++number) cluster.change(0);
   EngineBounds bounds;
-  for (std::size_t each = 0; each < 3; ++each) CHECK(cluster.replica(each).engine().greenKeptBytes() <= bounds.greenKeptBytes);
+  for (std::size_t each = 0; each < 3; ++each) CHECK(cluster.replica(each).engine().greenKeptBytes() <= bounds.maxGreenKeptBytes);
 }
 
 TEST_CASE("orders beyond the bytes that may wait are refused at once, and taken again afterwards") {
   EngineCluster cluster(3, 5);
-  cluster.padding = 100'000;
+  cluster.paddingBytes = 100'000;
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(3s);
   for (int number = 0; number < 200; ++number) cluster.submit(1);
-  auto most = cluster.bounds.waitingBytes / cluster.padding;
+  auto most = cluster.bounds.maxPendingBytes / cluster.paddingBytes;
   CHECK(cluster.nodes[1]->core->engine().ongoingCount() <= most);
   cluster.run(3s);
   CHECK(cluster.acknowledged.size() <= most);
@@ -89,7 +89,7 @@
   cluster.submit(1);
   cluster.run(1s);
   CHECK(cluster.acknowledged.size() > most - 2);
-  cluster.judge();
+  cluster.verify();
   CHECK(cluster.faults.empty());
 }
 
@@ -97,7 +97,7 @@
   EngineCluster cluster(3, 6);
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(3s);
-  cluster.padding = cluster.bounds.waitingBytes + 1;
+  cluster.paddingBytes = cluster.bounds.maxPendingBytes + 1;
   cluster.submit(0);
   cluster.run(2s);
   CHECK(cluster.acknowledged.size() == 1);
@@ -105,7 +105,7 @@
 
 TEST_CASE("what a member has not received is sent again in small parts") {
   EngineCluster cluster(3, 7);
-  cluster.padding = 100'000;
+  cluster.paddingBytes = 100'000;
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(3s);
   cluster.network.cut(cluster.host(0), cluster.host(2));
@@ -113,12 +113,12 @@
   std::size_t orders = 40;
   for (std::size_t number = 0; number < orders; ++number) cluster.submit(0);
   cluster.run(450ms);
-  auto once = 2 * orders * cluster.padding;
+  auto once = 2 * orders * cluster.paddingBytes;
   // five heartbeats at most, each with a part of a mebibyte and one order more
-  CHECK(cluster.network.passedBytes() - before < once + 5 * ((1u << 20) + 2 * cluster.padding));
+  CHECK(cluster.network.passedBytes() - before < once + 5 * ((1u << 20) + 2 * cluster.paddingBytes));
   cluster.network.healAll();
   cluster.run(3s);
   CHECK(cluster.acknowledged.size() == orders);
-  cluster.judge();
+  cluster.verify();
   CHECK(cluster.faults.empty());
 }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -9,7 +9,7 @@
   EngineCluster cluster(3, 11);
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(2s);
-  auto leaver = cluster.nodes[2]->core->own();
+  auto leaver = cluster.nodes[2]->core->serverId();
   cluster.kill(2);
   cluster.run(2s);
   cluster.submit(0);
@@ -25,14 +25,14 @@
   CHECK(engine.whiteLine() > white);
   cluster.start(2);
   cluster.run(2s);
-  CHECK(cluster.nodes[2]->core->dismissed());
-  CHECK(cluster.inPrimary() == 2);
+  CHECK(cluster.nodes[2]->core->removedFromGroup());
+  CHECK(cluster.primaryMemberCount() == 2);
   cluster.kill(2);
   cluster.nodes[2]->disk.empty();
   cluster.start(2);
   cluster.run(4s);
-  CHECK(cluster.inPrimary() == 3);
-  cluster.judge();
+  CHECK(cluster.primaryMemberCount() == 3);
+  cluster.verify();
   CHECK(cluster.faults.empty());
 }
 
@@ -45,20 +45,20 @@
   cluster.start(3);
   cluster.start(4);
   cluster.run(5s);
-  CHECK(cluster.inPrimary() == 5);
+  CHECK(cluster.primaryMemberCount() == 5);
   cluster.kill(0);
   cluster.kill(1);
   cluster.run(3s);
-  CHECK(cluster.inPrimary() == 3);
+  CHECK(cluster.primaryMemberCount() == 3);
   cluster.submit(4);
   cluster.run(500ms);
   cluster.kill(2);
   cluster.run(3s);
-  CHECK(cluster.inPrimary() == 0);
+  CHECK(cluster.primaryMemberCount() == 0);
   for (std::size_t index = 0; index < 5; ++index) cluster.start(index);
   cluster.run(5s);
-  CHECK(cluster.inPrimary() == 5);
-  cluster.judge();
+  CHECK(cluster.primaryMemberCount() == 5);
+  cluster.verify();
   for (const auto& fault : cluster.faults) UNSCOPED_INFO(fault);
   CHECK(cluster.faults.empty());
 }
@@ -68,11 +68,11 @@
   cluster.start(0);
   cluster.start(1);
   cluster.run(10s);
-  CHECK(cluster.inPrimary() == 0);
-  CHECK_FALSE(cluster.nodes[0]->core->engine().member());
+  CHECK(cluster.primaryMemberCount() == 0);
+  CHECK_FALSE(cluster.nodes[0]->core->engine().isMember());
   cluster.start(2);
   cluster.run(3s);
-  CHECK(cluster.inPrimary() == 3);
+  CHECK(cluster.primaryMemberCount() == 3);
 }
 
 TEST_CASE("outside of a primary component actions wait red up to a bound and are refused past it") {
@@ -88,10 +88,10 @@
     cluster.submit(0);
     cluster.run(10ms);
   }
-  CHECK(engine.redCount() + engine.ongoingCount() == cluster.bounds.red);
+  CHECK(engine.redCount() + engine.ongoingCount() == cluster.bounds.maxRedActions);
   auto before = engine.greenLine();
   cluster.start(1);
   cluster.run(4s);
-  CHECK(engine.greenLine() >= before + cluster.bounds.red);
+  CHECK(engine.greenLine() >= before + cluster.bounds.maxRedActions);
   CHECK(engine.redCount() == 0);
 }
--- a/tests/news_whole_test.cpp
+++ b/tests/news_whole_test.cpp
@@ -8,7 +8,7 @@
 #include "simulated/simulated_clock.hpp"
 #include "simulated/simulated_journal.hpp"
 #include "simulated/simulated_link.hpp"
-#include "wire/desk_messages.hpp"
+#include "wire/peer_request.hpp"
 
 using namespace tamarindshift;
 
@@ -39,13 +39,13 @@
  public:
   explicit SlowLink(Address own) : own_(std::move(own)) {}
   const Address& own() const override { return own_; }
-  void pass(const Address&, Envelope envelope) override { asked = *unpacked<DeskAsk>(envelope.body); }
+  void pass(const Address&, Envelope envelope) override { asked = *unpacked<PeerRequest>(envelope.body); }
   std::size_t arriving(const Address&) const override { return arrived; }
   void reply(const Address& from) {
-    PeerLink::arrived(from, Envelope{Matter::reply, packed(DeskReply{asked.attempt, asked.boot, "whole"})});
+    PeerLink::arrived(from, Envelope{MessageType::reply, packed(PeerReply{asked.attempt, asked.boot, "whole"})});
   }
   std::size_t arrived = 0;
-  DeskAsk asked;
+  PeerRequest asked;
 
  private:
   Address own_;
--- a/tests/operator_door_test.cpp
+++ b/tests/operator_door_test.cpp
@@ -96,10 +96,13 @@
     processes.push_back(Address{machine->host + ":1"});
     processes.push_back(Address{machine->host + ":2"});
   }
-  const std::vector<Matter> matters{
-      Matter::groupHeartbeat, Matter::groupSubmit,  Matter::groupOrdered, Matter::groupAcked, Matter::groupSafe,
-      Matter::groupPrepare,   Matter::groupFlushed, Matter::groupInstall, Matter::joinAsk,    Matter::joinSnapshot,
-      Matter::leftNotice,     Matter::ask,          Matter::reply,        Matter{99}};
+  const std::vector<MessageType> matters{MessageType::groupHeartbeat, MessageType::groupSubmit,
+                                         MessageType::groupOrdered,   MessageType::groupAcked,
+                                         MessageType::groupSafe,      MessageType::groupPrepare,
+                                         MessageType::groupFlushed,   MessageType::groupInstall,
+                                         MessageType::joinRequest,    MessageType::joinSnapshot,
+                                         MessageType::removalNotice,  MessageType::request,
+                                         MessageType::reply,          MessageType{99}};
   auto whole = packed(std::tuple(std::string("follow"), std::uint64_t{7}, std::vector<std::string>{"a", "b"}));
   for (int round = 0; round < 4000; ++round) {
     const auto& from = processes[world.below(processes.size())];
--- a/tests/platform/broken_adapters.cpp
+++ b/tests/platform/broken_adapters.cpp
@@ -156,8 +156,8 @@
   void rewrite(const std::vector<std::string>& records) override {
     for (const auto& record : records) own_.append(record);
   }
-  std::size_t length() const override { return own_.length(); }
-  bool refusing() const override { return own_.refusing(); }
+  std::size_t sizeBytes() const override { return own_.sizeBytes(); }
+  bool refusesWrites() const override { return own_.refusesWrites(); }
   const std::string& lastReason() const override { return own_.lastReason(); }
 
  private:
--- a/tests/platform/ended_process_test.cpp
+++ b/tests/platform/ended_process_test.cpp
@@ -27,7 +27,7 @@
 }
 
 std::size_t viewSize(PlatformWorld& world, const std::string& name) {
-  return dynamic_cast<CoreProgram&>(world.process(name)->program()).replica().engine().conf().set.size();
+  return dynamic_cast<CoreProgram&>(world.process(name)->program()).replica().engine().conf().members.size();
 }
 
 bool primaryComponent(PlatformWorld& world, const std::string& name) {
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -97,7 +97,7 @@
           });
           opened.world.runUntil(opened.world.now() + 300ms);
         }
-        CHECK(opened.store.refusing());
+        CHECK(opened.store.refusesWrites());
         CHECK(opened.store.lastReason().find("cannot write") != std::string::npos);
         CHECK(synced < 7);
         opened.store.rewrite({record(1), record(9)});
@@ -105,7 +105,7 @@
         opened.world.runUntil(opened.world.now() + 300ms);
       }
       opened.world.runUntil(opened.world.now() + 300ms);
-      CHECK_FALSE(opened.store.refusing());
+      CHECK_FALSE(opened.store.refusesWrites());
       CHECK(synced == 7);
     }
     Opened again(folder);
@@ -123,7 +123,7 @@
     opened.store.append(record(3));
     opened.store.sync([] {});
     opened.world.runUntil(opened.world.now() + 300ms);
-    CHECK(opened.store.refusing());
+    CHECK(opened.store.refusesWrites());
   }
   Opened again(folder);
   REQUIRE(again.records);
--- a/tests/tcp_link_test.cpp
+++ b/tests/tcp_link_test.cpp
@@ -43,7 +43,7 @@
   }
   void listen(TcpLink& peer) {
     REQUIRE_FALSE(peer.listen());
-    peer.on(Matter::ask, [this](const Address&, const std::string& body) {
+    peer.on(MessageType::request, [this](const Address&, const std::string& body) {
       heard.push_back(body);
     });
   }
@@ -70,7 +70,7 @@
     acceptor.async_accept(kept, [&](boost::system::error_code) {
       accepted = true;
     });
-    trial.own.pass(trial.peerAddress, Envelope{Matter::ask, "to the old life"});
+    trial.own.pass(trial.peerAddress, Envelope{MessageType::request, "to the old life"});
     REQUIRE(trial.runUntil([&] {
       return accepted && kept.available() > 0;
     }));
@@ -79,14 +79,14 @@
   peer.emplace(trial.context, trial.clock, trial.journal, trial.peerAddress, Detours{});
   trial.listen(*peer);
   bool answered = false;
-  trial.own.on(Matter::reply, [&](const Address&, const std::string&) {
+  trial.own.on(MessageType::reply, [&](const Address&, const std::string&) {
     answered = true;
   });
-  peer->pass(trial.ownAddress, Envelope{Matter::reply, "here I am"});
+  peer->pass(trial.ownAddress, Envelope{MessageType::reply, "here I am"});
   REQUIRE(trial.runUntil([&] {
     return answered;
   }));
-  trial.own.pass(trial.peerAddress, Envelope{Matter::ask, "first to the new life"});
+  trial.own.pass(trial.peerAddress, Envelope{MessageType::request, "first to the new life"});
   CHECK(trial.runUntil([&] {
     return !trial.heard.empty();
   }));
@@ -100,7 +100,7 @@
   std::optional<TcpLink> peer;
   peer.emplace(trial.context, trial.clock, trial.journal, trial.peerAddress, Detours{});
   trial.listen(*peer);
-  trial.own.pass(trial.peerAddress, Envelope{Matter::ask, "before"});
+  trial.own.pass(trial.peerAddress, Envelope{MessageType::request, "before"});
   REQUIRE(trial.runUntil([&] {
     return trial.heard.size() == 1;
   }));
@@ -111,7 +111,7 @@
   });
   peer.emplace(trial.context, trial.clock, trial.journal, trial.peerAddress, Detours{});
   trial.listen(*peer);
-  trial.own.pass(trial.peerAddress, Envelope{Matter::ask, "after"});
+  trial.own.pass(trial.peerAddress, Envelope{MessageType::request, "after"});
   CHECK(trial.runUntil([&] {
     return trial.heard.size() == 2;
   }));
@@ -122,13 +122,13 @@
   Trial trial;
   REQUIRE_FALSE(trial.own.listen());
   std::string received;
-  trial.own.on(Matter::reply, [&](const Address&, const std::string& body) {
+  trial.own.on(MessageType::reply, [&](const Address&, const std::string& body) {
     received = body;
   });
   tcp::socket peer(trial.context);
   peer.connect(trial.endpoint(trial.ownAddress));
   boost::asio::write(peer, boost::asio::buffer(frame('\0', trial.peerAddress.get() + " 1")));
-  auto whole = frame(static_cast<char>(Matter::reply), std::string(200'000, 'x'));
+  auto whole = frame(static_cast<char>(MessageType::reply), std::string(200'000, 'x'));
   boost::asio::write(peer, boost::asio::buffer(whole.data(), 100'000));
   REQUIRE(trial.runUntil([&] {
     return trial.own.arriving(trial.peerAddress) == 100'000 - 4;
@@ -157,7 +157,7 @@
     refused.push_back(peer);
   });
   SECTION("nobody listens") {
-    trial.own.pass(trial.peerAddress, Envelope{Matter::ask, "lost"});
+    trial.own.pass(trial.peerAddress, Envelope{MessageType::request, "lost"});
     REQUIRE(trial.runUntil([&] {
       return !refused.empty();
     }));
@@ -176,7 +176,7 @@
     };
     accept();
     for (int index = 0; index < 3; ++index) {
-      trial.own.pass(trial.peerAddress, Envelope{Matter::ask, "lost"});
+      trial.own.pass(trial.peerAddress, Envelope{MessageType::request, "lost"});
       auto before = accepted;
       trial.runUntil([&] {
         return accepted > before;
@@ -198,14 +198,14 @@
     addresses.push_back(freeAddress(trial.context));
     peers.push_back(std::make_unique<TcpLink>(trial.context, trial.clock, trial.journal, addresses.back(), Detours{}));
     REQUIRE_FALSE(peers.back()->listen());
-    peers.back()->on(Matter::ask, [&](const Address&, const std::string&) {
+    peers.back()->on(MessageType::request, [&](const Address&, const std::string&) {
       ++arrived;
     });
   }
   const std::size_t sentToEach = 30;
   auto sendAll = [&] {
     for (std::size_t index = 0; index < sentToEach; ++index)
-      for (const auto& address : addresses) trial.own.pass(address, Envelope{Matter::ask, std::string(1u << 20, 'x')});
+      for (const auto& address : addresses) trial.own.pass(address, Envelope{MessageType::request, std::string(1u << 20, 'x')});
   };
   auto droppedSoFar = [&]() -> std::uint64_t {
     auto found = trial.journal.counters().find("link.dropped");
