--- a/src/pooler/back_end.hpp
+++ b/src/pooler/back_end.hpp
@@ -14,16 +14,16 @@
 namespace tamarindshift {
 
 // unsent: no byte went out; lost: some did and no whole reply came
-enum class BackEndFate { replied, unsent, lost };
+enum class BackEndOutcome { replied, unsent, lost };
 
 struct BackEndReply {
-  BackEndFate fate = BackEndFate::unsent;
+  BackEndOutcome outcome = BackEndOutcome::unsent;
   StatementFault fault = StatementFault::none;
   std::string reason;
   std::vector<std::string> rows;
   std::string stamp;
   TransactionState state = TransactionState::idle;
-  std::optional<Place> place;
+  std::optional<Place> logPosition;
 };
 
 class BackEndConnection {
@@ -31,22 +31,22 @@
   virtual ~BackEndConnection() = default;
   // a statement without id is one of ours; `after` is the least place the database's log must hold.
   // At the deadline the reply is lost and the connection is no longer usable.
-  virtual Task<BackEndReply> run(Statement statement, std::optional<Place> after, Instant deadline) = 0;
+  virtual Task<BackEndReply> run(Statement statement, std::optional<Place> minPosition, Instant deadline) = 0;
   virtual bool usable() const = 0;
   virtual void close() = 0;
 };
 
-struct BackEndOpening {
+struct BackEndOpenResult {
   std::unique_ptr<BackEndConnection> connection;
   StatementFault fault = StatementFault::none;
   bool answered = false;
-  std::optional<Place> place;
+  std::optional<Place> logPosition;
 };
 
-class BackEnds {
+class BackEndConnector {
  public:
-  virtual ~BackEnds() = default;
-  virtual Task<BackEndOpening> open(DatabaseTarget target, Instant deadline) = 0;
+  virtual ~BackEndConnector() = default;
+  virtual Task<BackEndOpenResult> open(DatabaseTarget target, Instant deadline) = 0;
 };
 
 }  // namespace tamarindshift
--- a/src/pooler/back_end_pool.cpp
+++ b/src/pooler/back_end_pool.cpp
@@ -7,275 +7,277 @@
 
 namespace {
 
-constexpr std::uint32_t learnt = 40;
-constexpr Duration secondLook = 40ms;
-constexpr Duration fadesAfter = 1s;
-constexpr double fadesTo = 1000;
-constexpr Duration mellowPause = 100ms;
+constexpr std::uint32_t baselineReplies = 40;
+constexpr Duration silenceConfirmation = 40ms;
+constexpr Duration decayAfter = 1s;
+constexpr double decayTargetMicros = 1000;
+constexpr Duration decayInterval = 100ms;
 
 }  // namespace
 
-BackEndPool::BackEndPool(Clock& clock, BackEnds& backEnds, Journal& journal, std::function<void()> changed, Fits fits)
-    : clock_(clock), backEnds_(backEnds), journal_(journal), changed_(std::move(changed)), fits_(std::move(fits)) {}
+BackEndPool::BackEndPool(Clock& clock, BackEndConnector& connector, Journal& journal, std::function<void()> onChange, HasRoom hasRoom)
+    : clock_(clock), connector_(connector), journal_(journal), onChange_(std::move(onChange)), hasRoom_(std::move(hasRoom)) {}
 
-const BackEndPool::Shelf* BackEndPool::find(const DatabaseName& database) const {
-  auto found = shelves_.find(database);
-  return found == shelves_.end() ? nullptr : &found->second;
+const BackEndPool::DatabasePool* BackEndPool::find(const DatabaseName& database) const {
+  auto found = databasePools_.find(database);
+  return found == databasePools_.end() ? nullptr : &found->second;
 }
 
 std::shared_ptr<PooledBackEnd> BackEndPool::takeIdle(const DatabaseName& database, const ClientSession& session,
-                                                     const std::string& preparedName, const PreparedStatement* wantsPrepared) {
-  auto& shelf = shelves_[database];
-  std::erase_if(shelf.idle, [&](const auto& connection) {
+                                                     const std::string& neededName, const PreparedStatement* neededPrepared) {
+  auto& databasePool = databasePools_[database];
+  std::erase_if(databasePool.idle, [&](const auto& connection) {
     if (connection->link->usable()) return false;
     journal_.count("pool.stale");
     return true;
   });
-  auto misfit = [&](const std::shared_ptr<PooledBackEnd>& connection) {
-    if (connection->dubious) return 4;
+  auto stateDistance = [&](const std::shared_ptr<PooledBackEnd>& connection) {
+    if (connection->stateUnknown) return 4;
     int steps = 0;
     for (const auto& [name, value] : connection->values)
       if (!session.values.contains(name)) steps = 2;
     for (const auto& [name, value] : session.values)
       if (auto found = connection->values.find(name); found == connection->values.end() || found->second != value) ++steps;
-    if (wantsPrepared) {
-      auto found = connection->prepared.find(preparedName);
+    if (neededPrepared) {
+      auto found = connection->prepared.find(neededName);
       if (found == connection->prepared.end())
         ++steps;
-      else if (found->second != *wantsPrepared)
+      else if (found->second != *neededPrepared)
         steps += 2;
     }
     return steps;
   };
-  auto best = shelf.idle.end();
+  auto best = databasePool.idle.end();
   int least = 0;
-  for (auto each = shelf.idle.begin(); each != shelf.idle.end(); ++each) {
-    auto steps = misfit(*each);
-    if (best != shelf.idle.end() && steps >= least) continue;
+  for (auto each = databasePool.idle.begin(); each != databasePool.idle.end(); ++each) {
+    auto steps = stateDistance(*each);
+    if (best != databasePool.idle.end() && steps >= least) continue;
     best = each;
     least = steps;
     if (steps == 0) break;
   }
-  if (best == shelf.idle.end()) return nullptr;
+  if (best == databasePool.idle.end()) return nullptr;
   auto connection = *best;
-  shelf.idle.erase(best);
-  shelf.busy.insert(connection);
+  databasePool.idle.erase(best);
+  databasePool.busy.insert(connection);
   return connection;
 }
 
-bool BackEndPool::mayOpen(const DatabaseName& database, std::uint32_t most) {
-  auto& shelf = shelves_[database];
-  auto atOnce = shelf.openPause > Duration::zero() || shelf.suspect ? 1 : mostOpening;
-  return shelf.total() < std::min(most, bound(shelf)) && shelf.opening < atOnce && clock_.now() >= shelf.openAfter;
+bool BackEndPool::canOpen(const DatabaseName& database, std::uint32_t limit) {
+  auto& databasePool = databasePools_[database];
+  auto atOnce = databasePool.openBackoff > Duration::zero() || databasePool.suspected ? 1 : maxConcurrentOpens;
+  return databasePool.total() < std::min(limit, overloadLimit(databasePool)) && databasePool.opening < atOnce &&
+         clock_.now() >= databasePool.nextOpenAt;
 }
 
-void BackEndPool::open(DatabaseTarget target, Duration patience) {
-  auto& shelf = shelves_[target.database];
-  ++shelf.opening;
+void BackEndPool::open(DatabaseTarget target, Duration timeout) {
+  auto& databasePool = databasePools_[target.database];
+  ++databasePool.opening;
   journal_.count("pool.opens");
-  scope_.spawn(opening(std::move(target), patience));
+  scope_.spawn(openConnection(std::move(target), timeout));
 }
 
-Task<void> BackEndPool::opening(DatabaseTarget target, Duration patience) {
-  auto opened = co_await backEnds_.open(target, clock_.now() + patience);
-  auto& shelf = shelves_[target.database];
-  --shelf.opening;
+Task<void> BackEndPool::openConnection(DatabaseTarget target, Duration timeout) {
+  auto opened = co_await connector_.open(target, clock_.now() + timeout);
+  auto& databasePool = databasePools_[target.database];
+  --databasePool.opening;
   if (!opened.connection) {
     journal_.count("pool.opens_failed");
-    bool none = opened.answered && shelf.idle.empty() && shelf.busy.empty();
-    shelf.openPause = std::clamp(2 * shelf.openPause, leastOpenPause, none ? mostPauseWithNone : mostOpenPause);
-    shelf.openAfter = clock_.now() + shelf.openPause;
-    if (opened.fault == StatementFault::overloaded) crowded(target.database);
+    bool none = opened.answered && databasePool.idle.empty() && databasePool.busy.empty();
+    databasePool.openBackoff =
+        std::clamp(2 * databasePool.openBackoff, minOpenBackoff, none ? maxBackoffWithoutConnections : maxOpenBackoff);
+    databasePool.nextOpenAt = clock_.now() + databasePool.openBackoff;
+    if (opened.fault == StatementFault::overloaded) noteOverload(target.database);
     if (opened.answered)
-      shelf.heardAt = clock_.now();
+      databasePool.lastContactAt = clock_.now();
     else
-      unreachable(target.database);
-    changed_();
+      markSuspected(target.database);
+    onChange_();
     co_return;
   }
-  shelf.openPause = Duration::zero();
-  shelf.suspect = false;
-  shelf.heardAt = clock_.now();
-  if (!fits_(target)) {
+  databasePool.openBackoff = Duration::zero();
+  databasePool.suspected = false;
+  databasePool.lastContactAt = clock_.now();
+  if (!hasRoom_(target)) {
     journal_.count("pool.opened_in_vain");
     opened.connection->close();
-    changed_();
+    onChange_();
     co_return;
   }
   auto connection = std::make_shared<PooledBackEnd>();
   connection->target = std::move(target);
   connection->link = std::move(opened.connection);
   connection->usedAt = clock_.now();
-  shelf.idle.push_front(connection);
-  changed_();
+  databasePool.idle.push_front(connection);
+  onChange_();
 }
 
-void BackEndPool::crowded(const DatabaseName& database) {
-  auto& shelf = shelves_[database];
-  if (shelf.crowdedAt && clock_.now() - *shelf.crowdedAt < crowdedStep) return;
-  auto held = static_cast<std::uint32_t>(shelf.idle.size() + shelf.busy.size());
-  shelf.crowdedMost = std::max(leastKept, held / 2);
-  shelf.crowdedAt = clock_.now();
+void BackEndPool::noteOverload(const DatabaseName& database) {
+  auto& databasePool = databasePools_[database];
+  if (databasePool.overloadedAt && clock_.now() - *databasePool.overloadedAt < overloadRecoveryStep) return;
+  auto held = static_cast<std::uint32_t>(databasePool.idle.size() + databasePool.busy.size());
+  databasePool.overloadCap = std::max(minKeptOnOverload, held / 2);
+  databasePool.overloadedAt = clock_.now();
   journal_.count("pool.crowded");
-  trim(database, shelf.crowdedMost);
+  trim(database, databasePool.overloadCap);
 }
 
-std::uint32_t BackEndPool::bound(const Shelf& shelf) const {
-  if (!shelf.crowdedAt) return std::numeric_limits<std::uint32_t>::max();
-  return shelf.crowdedMost + static_cast<std::uint32_t>((clock_.now() - *shelf.crowdedAt) / crowdedStep);
+std::uint32_t BackEndPool::overloadLimit(const DatabasePool& databasePool) const {
+  if (!databasePool.overloadedAt) return std::numeric_limits<std::uint32_t>::max();
+  return databasePool.overloadCap + static_cast<std::uint32_t>((clock_.now() - *databasePool.overloadedAt) / overloadRecoveryStep);
 }
 
 void BackEndPool::release(const std::shared_ptr<PooledBackEnd>& connection) {
-  if (connection->cut || !connection->link->usable()) return drop(connection);
-  auto& shelf = shelves_[connection->target.database];
-  if (shelf.busy.erase(connection) == 0) return;
+  if (connection->dropped || !connection->link->usable()) return drop(connection);
+  auto& databasePool = databasePools_[connection->target.database];
+  if (databasePool.busy.erase(connection) == 0) return;
   connection->usedAt = clock_.now();
   connection->asPrimary = false;
   connection->holder = nullptr;
-  if (shelf.total() < bound(shelf))
-    shelf.idle.push_front(connection);
+  if (databasePool.total() < overloadLimit(databasePool))
+    databasePool.idle.push_front(connection);
   else
     connection->link->close();
-  changed_();
+  onChange_();
 }
 
 void BackEndPool::drop(const std::shared_ptr<PooledBackEnd>& connection) {
-  connection->cut = true;
+  connection->dropped = true;
   connection->link->close();
   if (connection->running) return;
-  if (shelves_[connection->target.database].busy.erase(connection) == 0) return;
+  if (databasePools_[connection->target.database].busy.erase(connection) == 0) return;
   journal_.count("pool.dropped");
-  changed_();
+  onChange_();
 }
 
 void BackEndPool::closeIdle(const DatabaseName& database) {
-  auto found = shelves_.find(database);
-  if (found == shelves_.end()) return;
+  auto found = databasePools_.find(database);
+  if (found == databasePools_.end()) return;
   for (const auto& connection : found->second.idle) connection->link->close();
   found->second.idle.clear();
 }
 
 void BackEndPool::closeAll(const ServiceName& service) {
-  for (auto& [database, shelf] : shelves_) {
-    auto closed = std::erase_if(shelf.idle, [&](const auto& connection) {
+  for (auto& [database, databasePool] : databasePools_) {
+    auto closed = std::erase_if(databasePool.idle, [&](const auto& connection) {
       if (connection->target.service != service) return false;
       connection->link->close();
       return true;
     });
     if (closed > 0) journal_.count("pool.lapsed", closed);
-    auto busy = shelf.busy;
+    auto busy = databasePool.busy;
     for (const auto& connection : busy)
       if (connection->target.service == service) drop(connection);
   }
 }
 
-void BackEndPool::trim(const DatabaseName& database, std::uint32_t most) {
-  auto& shelf = shelves_[database];
-  while (!shelf.idle.empty() && shelf.total() > most) {
-    shelf.idle.back()->link->close();
-    shelf.idle.pop_back();
+void BackEndPool::trim(const DatabaseName& database, std::uint32_t limit) {
+  auto& databasePool = databasePools_[database];
+  while (!databasePool.idle.empty() && databasePool.total() > limit) {
+    databasePool.idle.back()->link->close();
+    databasePool.idle.pop_back();
     journal_.count("pool.trimmed");
   }
 }
 
-void BackEndPool::forget(const std::set<DatabaseName>& known) {
-  for (auto each = shelves_.begin(); each != shelves_.end();) {
-    bool gone = !known.contains(each->first);
-    if (gone) closeIdle(each->first);
-    if (gone && each->second.busy.empty() && each->second.opening == 0)
-      each = shelves_.erase(each);
+void BackEndPool::retainOnly(const std::set<DatabaseName>& known) {
+  for (auto each = databasePools_.begin(); each != databasePools_.end();) {
+    bool removed = !known.contains(each->first);
+    if (removed) closeIdle(each->first);
+    if (removed && each->second.busy.empty() && each->second.opening == 0)
+      each = databasePools_.erase(each);
     else
       ++each;
   }
 }
 
-void BackEndPool::heard(const DatabaseName& database, Duration taken) {
-  auto& shelf = shelves_[database];
-  shelf.heardAt = clock_.now();
-  shelf.suspect = false;
-  auto micros = static_cast<double>(taken.count());
-  shelf.meanTaken = shelf.meanTaken * 0.9 + micros * 0.1;
-  if (shelf.replies < learnt) {
-    ++shelf.replies;
-    shelf.usualTaken += (micros - shelf.usualTaken) / shelf.replies;
-  } else if (shelf.meanTaken < 2 * shelf.usualTaken) {
-    shelf.usualTaken += (micros - shelf.usualTaken) * 0.005;
+void BackEndPool::noteReply(const DatabaseName& database, Duration latency) {
+  auto& databasePool = databasePools_[database];
+  databasePool.lastContactAt = clock_.now();
+  databasePool.suspected = false;
+  auto micros = static_cast<double>(latency.count());
+  databasePool.meanLatencyMicros = databasePool.meanLatencyMicros * 0.9 + micros * 0.1;
+  if (databasePool.replies < baselineReplies) {
+    ++databasePool.replies;
+    databasePool.baselineLatencyMicros += (micros - databasePool.baselineLatencyMicros) / databasePool.replies;
+  } else if (databasePool.meanLatencyMicros < 2 * databasePool.baselineLatencyMicros) {
+    databasePool.baselineLatencyMicros += (micros - databasePool.baselineLatencyMicros) * 0.005;
   }
 }
 
-void BackEndPool::ended(const DatabaseName& database, bool well) {
-  auto& shelf = shelves_[database];
-  shelf.faulty = shelf.faulty * 0.95 + (well ? 0 : 0.05);
+void BackEndPool::noteOutcome(const DatabaseName& database, bool succeeded) {
+  auto& databasePool = databasePools_[database];
+  databasePool.errorRate = databasePool.errorRate * 0.95 + (succeeded ? 0 : 0.05);
 }
 
-bool BackEndPool::Shelf::strained() const {
-  bool slow = replies >= learnt && meanTaken > 3.5 * usualTaken && meanTaken > 20000;
-  return slow || faulty > 0.1;
+bool BackEndPool::DatabasePool::strained() const {
+  bool slow = replies >= baselineReplies && meanLatencyMicros > 3.5 * baselineLatencyMicros && meanLatencyMicros > 20000;
+  return slow || errorRate > 0.1;
 }
 
-std::uint32_t BackEndPool::Shelf::busyAfter(std::uint32_t order) const {
+std::uint32_t BackEndPool::DatabasePool::busyAboveOrder(std::uint32_t order) const {
   return static_cast<std::uint32_t>(std::count_if(busy.begin(), busy.end(), [order](const auto& connection) {
     return connection->order > order;
   }));
 }
 
-void BackEndPool::unreachable(const DatabaseName& database) {
-  auto& shelf = shelves_[database];
-  if (!shelf.suspect) journal_.line("database " + database.get() + " is suspected");
-  shelf.suspect = true;
-  shelf.trialAt = clock_.now();
+void BackEndPool::markSuspected(const DatabaseName& database) {
+  auto& databasePool = databasePools_[database];
+  if (!databasePool.suspected) journal_.line("database " + database.get() + " is suspected");
+  databasePool.suspected = true;
+  databasePool.lastProbeAt = clock_.now();
   closeIdle(database);
 }
 
-void BackEndPool::watch(Duration patience) {
+void BackEndPool::suspectSilent(Duration timeout) {
   auto now = clock_.now();
-  for (auto& [database, shelf] : shelves_) {
-    if (shelf.suspect) continue;
-    auto limit = std::max(patience, Duration{static_cast<Duration::rep>(shelf.meanTaken * 6)});
-    bool silent = std::any_of(shelf.busy.begin(), shelf.busy.end(), [&](const auto& connection) {
-      return connection->running && now - connection->usedAt > limit && now - shelf.heardAt > limit;
+  for (auto& [database, databasePool] : databasePools_) {
+    if (databasePool.suspected) continue;
+    auto limit = std::max(timeout, Duration{static_cast<Duration::rep>(databasePool.meanLatencyMicros * 6)});
+    bool silent = std::any_of(databasePool.busy.begin(), databasePool.busy.end(), [&](const auto& connection) {
+      return connection->running && now - connection->usedAt > limit && now - databasePool.lastContactAt > limit;
     });
-    silent = silent || (shelf.gaveUpAt > shelf.heardAt && now - shelf.heardAt > limit);
+    silent = silent || (databasePool.lastTimeoutAt > databasePool.lastContactAt && now - databasePool.lastContactAt > limit);
     if (!silent) {
-      shelf.doubtedAt.reset();
+      databasePool.silenceSeenAt.reset();
       continue;
     }
-    if (!shelf.doubtedAt) shelf.doubtedAt = now;
-    if (now - *shelf.doubtedAt < secondLook) continue;
-    shelf.doubtedAt.reset();
+    if (!databasePool.silenceSeenAt) databasePool.silenceSeenAt = now;
+    if (now - *databasePool.silenceSeenAt < silenceConfirmation) continue;
+    databasePool.silenceSeenAt.reset();
     journal_.count("pool.silent");
-    unreachable(database);
-    cutBusy(database, false, Epoch{});
+    markSuspected(database);
+    closeBusy(database, false, Epoch{});
   }
 }
 
-void BackEndPool::gaveUp(const DatabaseName& database) {
-  shelves_[database].gaveUpAt = clock_.now();
+void BackEndPool::noteTimeout(const DatabaseName& database) {
+  databasePools_[database].lastTimeoutAt = clock_.now();
 }
 
-void BackEndPool::mellow() {
-  if (clock_.now() - mellowedAt_ < mellowPause) return;
-  mellowedAt_ = clock_.now();
-  for (auto& [database, shelf] : shelves_) {
-    if (shelf.replies == 0 || clock_.now() - shelf.heardAt < fadesAfter) continue;
-    shelf.meanTaken += (fadesTo - shelf.meanTaken) * 0.02;
-    shelf.faulty *= 0.98;
+void BackEndPool::decayStatistics() {
+  if (clock_.now() - decayedAt_ < decayInterval) return;
+  decayedAt_ = clock_.now();
+  for (auto& [database, databasePool] : databasePools_) {
+    if (databasePool.replies == 0 || clock_.now() - databasePool.lastContactAt < decayAfter) continue;
+    databasePool.meanLatencyMicros += (decayTargetMicros - databasePool.meanLatencyMicros) * 0.02;
+    databasePool.errorRate *= 0.98;
   }
 }
 
-bool BackEndPool::doubting() const {
-  return std::any_of(shelves_.begin(), shelves_.end(), [](const auto& each) {
-    return each.second.doubtedAt.has_value();
+bool BackEndPool::checkingSilence() const {
+  return std::any_of(databasePools_.begin(), databasePools_.end(), [](const auto& each) {
+    return each.second.silenceSeenAt.has_value();
   });
 }
 
-void BackEndPool::cutBusy(const DatabaseName& database, bool onlyPrimaryWork, Epoch before, bool notRunning) {
-  auto found = shelves_.find(database);
-  if (found == shelves_.end()) return;
+void BackEndPool::closeBusy(const DatabaseName& database, bool onlyPrimaryWork, Epoch before, bool betweenStatementsOnly) {
+  auto found = databasePools_.find(database);
+  if (found == databasePools_.end()) return;
   auto busy = found->second.busy;
   for (const auto& connection : busy) {
     if (onlyPrimaryWork ? !connection->asPrimary || connection->epoch >= before : connection->asPrimary) continue;
-    if (notRunning && connection->running) continue;
+    if (betweenStatementsOnly && connection->running) continue;
     journal_.count("pool.cut");
     drop(connection);
   }
@@ -283,7 +285,7 @@
 
 std::size_t BackEndPool::connections() const {
   std::size_t sum = 0;
-  for (const auto& [database, shelf] : shelves_) sum += shelf.total();
+  for (const auto& [database, databasePool] : databasePools_) sum += databasePool.total();
   return sum;
 }
 
--- a/src/pooler/client_session.hpp
+++ b/src/pooler/client_session.hpp
@@ -13,10 +13,10 @@
   KindName kind;
   bool readOnly = false;
   bool failed = false;
-  bool told = false;
+  bool failureReported = false;
   bool wrote = false;
   // values or names were laid on its connection, which a rollback may take back
-  bool laid = false;
+  bool stateApplied = false;
   std::shared_ptr<PooledBackEnd> connection;
 };
 
@@ -25,7 +25,7 @@
   std::map<std::string, std::string> values;
   std::map<std::string, PreparedStatement> prepared;
   std::optional<ClientTransaction> transaction;
-  std::map<ServiceName, Place> own;
+  std::map<ServiceName, Place> lastCommitPositions;
   bool busy = false;
   Instant usedAt{};
   /// Of the statement under way, or of the last one.
--- a/src/pooler/demand.hpp
+++ b/src/pooler/connection_request.hpp
@@ -7,9 +7,9 @@
 
 namespace tamarindshift {
 
-enum class DemandStage { waiting, granted, refused };
+enum class ConnectionRequestState { waiting, granted, refused };
 
-struct Demand {
+struct ConnectionRequest {
   std::uint64_t number = 0;
   std::uint32_t order = 0;
   const ClientSession* session = nullptr;
@@ -17,15 +17,15 @@
   bool atPrimary = true;
   Instant arrivedAt{};
   /// When this demand began to wait; `arrivedAt` is when its statement came.
-  Instant askedAt{};
-  Instant holdUntil{};
+  Instant requestedAt{};
+  Instant waitUntil{};
   std::set<DatabaseName> avoid;
-  const PreparedStatement* wantsPrepared = nullptr;
-  std::string preparedName;
-  DemandStage stage = DemandStage::waiting;
+  const PreparedStatement* neededPrepared = nullptr;
+  std::string neededName;
+  ConnectionRequestState state = ConnectionRequestState::waiting;
   bool rationed = false;
   std::shared_ptr<PooledBackEnd> connection;
-  std::optional<Place> after;
+  std::optional<Place> minPosition;
   StatementFault fault = StatementFault::none;
   std::string reason;
   Gate decided;
--- a/src/pooler/failure_log.cpp
+++ b/src/pooler/failure_log.cpp
@@ -12,13 +12,13 @@
 
 using Json = nlohmann::json;
 
-std::string_view fateName(BackEndFate fate) {
-  switch (fate) {
-    case BackEndFate::replied:
+std::string_view outcomeName(BackEndOutcome outcome) {
+  switch (outcome) {
+    case BackEndOutcome::replied:
       return "replied";
-    case BackEndFate::unsent:
+    case BackEndOutcome::unsent:
       return "unsent";
-    case BackEndFate::lost:
+    case BackEndOutcome::lost:
       return "lost";
   }
   return "unknown";
@@ -26,10 +26,10 @@
 
 Json attemptJson(const StatementAttempt& attempt) {
   return Json{{"database", attempt.database.get()},
-              {"fate", fateName(attempt.fate)},
+              {"fate", outcomeName(attempt.outcome)},
               {"fault", faultName(attempt.fault)},
               {"sent_after_ms", milliseconds(attempt.sentAfter).count()},
-              {"taken_ms", milliseconds(attempt.taken).count()}};
+              {"taken_ms", milliseconds(attempt.latency).count()}};
 }
 
 Json failureJson(const FailedStatement& failed, Instant now) {
@@ -40,12 +40,12 @@
             {"service", failed.trace.service.get()},
             {"fault", faultName(failed.fault)},
             {"reason", failed.reason},
-            {"held_ms", milliseconds(failed.held).count()},
+            {"held_ms", milliseconds(failed.elapsed).count()},
             {"waited_ms", milliseconds(failed.trace.waited).count()},
             {"primary", failed.primary.get()},
             {"epoch", failed.epoch.get()},
             {"lease_ms", milliseconds(failed.leaseLeft).count()},
-            {"hindrances", failed.hindrances},
+            {"hindrances", failed.unavailabilityReasons},
             {"attempts_made", failed.trace.attemptsMade}};
   json["attempts"] = Json::array();
   for (const auto& attempt : failed.trace.attempts) json["attempts"].push_back(attemptJson(attempt));
@@ -61,46 +61,46 @@
   return names[static_cast<std::size_t>(fault)];
 }
 
-std::string FailureLog::text(const Cause& cause) {
+std::string FailureLog::describe(const Cause& cause) {
   const auto& [service, fault, reason] = cause;
   auto subject = service.get().empty() ? std::string{"sessions"} : "service " + service.get();
   return subject + " " + std::string{faultName(fault)} + ": " + reason;
 }
 
 // what clients and databases send may be long and may be no text
-void FailureLog::makeShowable(FailedStatement& failed) {
-  for (auto* text : {&failed.trace.id, &failed.host, &failed.reason}) *text = printable(*text, mostText);
+void FailureLog::makePrintable(FailedStatement& failed) {
+  for (auto* text : {&failed.trace.id, &failed.host, &failed.reason}) *text = printable(*text, maxTextBytes);
 }
 
-void FailureLog::note(FailedStatement failed) {
-  makeShowable(failed);
+void FailureLog::record(FailedStatement failed) {
+  makePrintable(failed);
   Cause cause{failed.trace.service, failed.fault, failed.reason};
-  if (sums_.size() >= mostCauses && !sums_.contains(cause)) std::get<std::string>(cause) = "one of many other reasons";
-  ++sums_[cause];
+  if (totals_.size() >= maxCauses && !totals_.contains(cause)) std::get<std::string>(cause) = "one of many other reasons";
+  ++totals_[cause];
   auto [episode, fresh] = episodes_.try_emplace(cause);
   if (fresh) {
     episode->second.firstAt = failed.at;
-    journal_.line("statements fail, " + text(cause));
+    journal_.line("statements fail, " + describe(cause));
   }
   episode->second.lastAt = failed.at;
   ++episode->second.failures;
   kept_.push_front(std::move(failed));
-  if (kept_.size() > mostKept) kept_.pop_back();
+  if (kept_.size() > maxKept) kept_.pop_back();
 }
 
-void FailureLog::review(Instant now) {
+void FailureLog::endQuietEpisodes(Instant now) {
   std::erase_if(episodes_, [&](const auto& each) {
     const auto& episode = each.second;
-    if (now - episode.lastAt < episodeEnds) return false;
+    if (now - episode.lastAt < episodeGap) return false;
     auto lasted = milliseconds(episode.lastAt - episode.firstAt).count();
-    journal_.line(std::to_string(episode.failures) + " statements failed in " + std::to_string(lasted) + " ms, " + text(each.first));
+    journal_.line(std::to_string(episode.failures) + " statements failed in " + std::to_string(lasted) + " ms, " + describe(each.first));
     return true;
   });
 }
 
 Json FailureLog::json(Instant now, const std::string& id) const {
   Json list = Json::array();
-  const auto shownId = printable(id, mostText);
+  const auto shownId = printable(id, maxTextBytes);
   for (const auto& failed : kept_)
     if (id.empty() || failed.trace.id == shownId) list.push_back(failureJson(failed, now));
   return list;
--- a/src/pooler/failure_log.hpp
+++ b/src/pooler/failure_log.hpp
@@ -20,12 +20,12 @@
   StatementTrace trace;
   StatementFault fault = StatementFault::none;
   std::string reason;
-  Duration held{};
+  Duration elapsed{};
   DatabaseName primary;
   Epoch epoch;
   Duration leaseLeft{};
   /// What kept the service from serving, as the status page words it.
-  std::vector<std::string> hindrances;
+  std::vector<std::string> unavailabilityReasons;
 };
 
 /// The word for a fault in logs, metrics and the list of failures.
@@ -38,12 +38,12 @@
   using Cause = std::tuple<ServiceName, StatementFault, std::string>;
 
   explicit FailureLog(Journal& journal) : journal_(journal) {}
-  void note(FailedStatement failed);
+  void record(FailedStatement failed);
   /// Ends the episodes in which nothing failed for a while.
-  void review(Instant now);
+  void endQuietEpisodes(Instant now);
   /// The newest failures first; only those of `id` if that is not empty.
   nlohmann::json json(Instant now, const std::string& id) const;
-  const std::map<Cause, std::uint64_t>& sums() const { return sums_; }
+  const std::map<Cause, std::uint64_t>& totals() const { return totals_; }
 
  private:
   struct Episode {
@@ -52,19 +52,19 @@
     std::uint64_t failures = 0;
   };
 
-  static constexpr std::size_t mostKept = 256;
+  static constexpr std::size_t maxKept = 256;
   /// Causes told apart; what databases say in their own words must not grow this without end.
-  static constexpr std::size_t mostCauses = 128;
-  static constexpr Duration episodeEnds = 1s;
+  static constexpr std::size_t maxCauses = 128;
+  static constexpr Duration episodeGap = 1s;
   /// Bytes kept of an id, a host name or a reason.
-  static constexpr std::size_t mostText = 256;
+  static constexpr std::size_t maxTextBytes = 256;
 
-  static std::string text(const Cause& cause);
-  static void makeShowable(FailedStatement& failed);
+  static std::string describe(const Cause& cause);
+  static void makePrintable(FailedStatement& failed);
 
   Journal& journal_;
   std::deque<FailedStatement> kept_;
-  std::map<Cause, std::uint64_t> sums_;
+  std::map<Cause, std::uint64_t> totals_;
   std::map<Cause, Episode> episodes_;
 };
 
--- a/src/pooler/pooled_back_end.hpp
+++ b/src/pooler/pooled_back_end.hpp
@@ -19,12 +19,12 @@
   std::unique_ptr<BackEndConnection> link;
   std::map<std::string, std::string> values;
   std::map<std::string, PreparedStatement> prepared;
-  bool dubious = false;
+  bool stateUnknown = false;
   bool asPrimary = false;
   Epoch epoch;
   std::uint32_t order = 0;
   bool running = false;
-  bool cut = false;
+  bool dropped = false;
   /// The session whose statements it carries; none while it is idle or rolled back.
   const ClientSession* holder = nullptr;
   Instant usedAt{};
--- a/src/pooler/pooler_checks.cpp
+++ b/src/pooler/pooler_checks.cpp
@@ -21,7 +21,7 @@
 }
 
 bool mayHaveRun(const BackEndReply& reply) {
-  if (reply.fate != BackEndFate::replied) return reply.fate == BackEndFate::lost;
+  if (reply.outcome != BackEndOutcome::replied) return reply.outcome == BackEndOutcome::lost;
   switch (reply.fault) {
     case StatementFault::busy:
     case StatementFault::behind:
@@ -38,26 +38,26 @@
 
 }  // namespace
 
-bool Pooler::keepsSomething(const ClientSession& session, const Statement& statement) const {
+bool Pooler::makesDurable(const ClientSession& session, const Statement& statement) const {
   return statement.kind == StatementKind::commit || writes(session, statement);
 }
 
-void Pooler::noteAttempt(ClientSession& session, const Connection& connection, const BackEndReply& reply, Instant askedAt, bool keeps) {
+void Pooler::noteAttempt(ClientSession& session, const Connection& connection, const BackEndReply& reply, Instant askedAt, bool durable) {
   auto& trace = session.trace;
-  trace.note(StatementAttempt{connection->target.database, reply.fate, reply.fault, askedAt - trace.arrivedAt, clock_.now() - askedAt});
-  if (keeps && mayHaveRun(reply)) trace.mayHaveRun = true;
+  trace.add(StatementAttempt{connection->target.database, reply.outcome, reply.fault, askedAt - trace.arrivedAt, clock_.now() - askedAt});
+  if (durable && mayHaveRun(reply)) trace.mayHaveRun = true;
 }
 
 void Pooler::checkSending(const ClientSession* session, const Connection& connection, const Statement& statement) {
   if (!session) return;
   const auto& target = connection->target;
   SendingFacts facts;
-  facts.place = [&] {
+  facts.context = [&] {
     return "'" + statement.id + "' to " + target.database.get() + " of " + target.service.get();
   };
   facts.heldBySession = connection->holder == session;
   facts.clientWork = clientWork(statement.kind);
-  facts.keepsSomething = keepsSomething(*session, statement);
+  facts.makesDurable = makesDurable(*session, statement);
   facts.mayHaveRunBefore = session->trace.mayHaveRun;
   facts.leased = guide_.leased(target.service);
   facts.asPrimary = connection->asPrimary;
@@ -78,24 +78,24 @@
   return current || finishes;
 }
 
-AcknowledgementFacts Pooler::acknowledgementFacts(const ClientSession& session, const Connection& connection, bool keeps) const {
+AcknowledgementFacts Pooler::acknowledgementFacts(const ClientSession& session, const Connection& connection, bool durable) const {
   AcknowledgementFacts facts;
-  facts.place = [id = session.trace.id, database = connection->target.database] {
+  facts.context = [id = session.trace.id, database = connection->target.database] {
     return "'" + id + "' at " + database.get();
   };
-  facts.keepsSomething = keeps;
+  facts.makesDurable = durable;
   facts.leased = guide_.leased(connection->target.service);
   facts.inEpoch = inEpoch(connection);
   return facts;
 }
 
 bool Pooler::stalledSince(Instant since) const {
-  return stalledAt_ >= since || clock_.now() - caredAt_ > stallPause;
+  return stalledAt_ >= since || clock_.now() - supervisedAt_ > stallThreshold;
 }
 
-void Pooler::checkEnded(const ClientSession& session) {
+void Pooler::checkRepliedInTime(const ClientSession& session) {
   const auto& trace = session.trace;
-  AnswerTimes times{trace.arrivedAt, clock_.now(), trace.endsBy, stalledSince(trace.arrivedAt)};
+  StatementTimes times{trace.arrivedAt, clock_.now(), trace.deadline, stalledSince(trace.arrivedAt)};
   checkAnsweredInTime(journal_, times, [&] {
     return "'" + trace.id + "' of " + trace.kind.get();
   });
--- a/src/pooler/pooler_metrics.cpp
+++ b/src/pooler/pooler_metrics.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr std::size_t mostReasonShown = 256;
+constexpr std::size_t maxReasonBytes = 256;
 
 }  // namespace
 
-std::string Pooler::whyWaiting(const Demand& demand) const {
-  if (demand.rationed) return "work of earlier orders goes first at a crowded database";
+std::string Pooler::waitReason(const ConnectionRequest& request) const {
+  if (request.rationed) return "work of earlier orders goes first at a crowded database";
   static const std::string prefix = "no database could take it in time";
-  auto found = routeNamed(demand.kind);
+  auto found = routeNamed(request.kind);
   if (!found) return prefix;
-  auto reasons = hindrances(found->kind->service, *found->service);
+  auto reasons = unavailabilityReasons(found->kind->service, *found->service);
   return prefix + ": " + (reasons.empty() ? "its connections are in use or being opened" : reasons.front());
 }
 
@@ -27,17 +27,17 @@
   failed.trace = session.trace;
   failed.fault = reply.fault;
   failed.reason = reply.reason;
-  failed.held = failed.at - session.trace.arrivedAt;
+  failed.elapsed = failed.at - session.trace.arrivedAt;
   if (failed.trace.service.get().empty())
     if (auto found = route(session.host)) failed.trace.service = found->kind->service;
   const auto& service = failed.trace.service;
   if (const auto* view = guide_.service(service)) {
     failed.primary = view->primary.primary;
     failed.epoch = view->primary.epoch;
-    failed.hindrances = hindrances(service, *view);
+    failed.unavailabilityReasons = unavailabilityReasons(service, *view);
   }
   if (auto until = guide_.leaseUntil(service)) failed.leaseLeft = *until - failed.at;
-  failures_.note(std::move(failed));
+  failures_.record(std::move(failed));
 }
 
 void Pooler::noteRefusedSession(const std::string& host, const StatementReply& refusal, Instant arrivedAt) {
@@ -48,20 +48,20 @@
   failed.trace.arrivedAt = arrivedAt;
   failed.fault = refusal.fault;
   failed.reason = refusal.reason;
-  failed.held = failed.at - arrivedAt;
-  failures_.note(std::move(failed));
+  failed.elapsed = failed.at - arrivedAt;
+  failures_.record(std::move(failed));
 }
 
-void Pooler::noteThrew(const std::string& what) {
+void Pooler::noteSessionException(const std::string& what) {
   journal_.count("sessions.threw");
-  journal_.line(std::string{sessionThrew} + printable(what, mostReasonShown));
+  journal_.line(std::string{sessionExceptionPrefix} + printable(what, maxReasonBytes));
 }
 
 std::string Pooler::metrics() const {
   MetricsText page;
   auto now = clock_.now();
   page.gauge("ready", "Whether the readiness probe is answered with 200.");
-  page.sample({}, notReady() ? 0 : 1);
+  page.sample({}, notReadyReason() ? 0 : 1);
   page.gauge("cut_off", "Whether this node hears no replica and refuses at once.");
   page.sample({}, cutOff() ? 1 : 0);
   page.gauge("configuration_version", "The version of the configuration that is followed.");
@@ -69,7 +69,7 @@
   page.gauge("sessions", "Open sessions of clients.");
   page.sample({}, static_cast<double>(sessions_.size()));
   page.gauge("waiting_statements", "Statements that wait for a connection.");
-  page.sample({}, static_cast<double>(demands_.size()));
+  page.sample({}, static_cast<double>(requests_.size()));
   page.gauge("lease_seconds", "What is left of the lease of a service.");
   for (const auto& [name, view] : guide_.services()) {
     auto until = guide_.leaseUntil(name);
@@ -79,18 +79,18 @@
   for (const auto& [name, view] : guide_.services()) page.sample({{"service", name.get()}}, static_cast<double>(view.primary.epoch.get()));
   page.gauge("hindrance", "What keeps a service from serving at its primary now.");
   for (const auto& [name, view] : guide_.services())
-    for (const auto& reason : hindrances(name, view)) page.sample({{"service", name.get()}, {"reason", reason}}, 1);
+    for (const auto& reason : unavailabilityReasons(name, view)) page.sample({{"service", name.get()}, {"reason", reason}}, 1);
   page.gauge("connections", "Connections to databases by state.");
-  for (const auto& [database, shelf] : pool_.shelves()) {
-    page.sample({{"database", database.get()}, {"state", "busy"}}, static_cast<double>(shelf.busy.size()));
-    page.sample({{"database", database.get()}, {"state", "idle"}}, static_cast<double>(shelf.idle.size()));
-    page.sample({{"database", database.get()}, {"state", "opening"}}, shelf.opening);
+  for (const auto& [database, databasePool] : pool_.databasePools()) {
+    page.sample({{"database", database.get()}, {"state", "busy"}}, static_cast<double>(databasePool.busy.size()));
+    page.sample({{"database", database.get()}, {"state", "idle"}}, static_cast<double>(databasePool.idle.size()));
+    page.sample({{"database", database.get()}, {"state", "opening"}}, databasePool.opening);
   }
   page.gauge("database_suspected", "Databases that leave work unanswered.");
-  for (const auto& [database, shelf] : pool_.shelves())
-    if (shelf.suspect) page.sample({{"database", database.get()}}, 1);
+  for (const auto& [database, databasePool] : pool_.databasePools())
+    if (databasePool.suspected) page.sample({{"database", database.get()}}, 1);
   page.counter("failed_statements_total", "Statements that were not served, by cause.");
-  for (const auto& [cause, amount] : failures_.sums()) {
+  for (const auto& [cause, amount] : failures_.totals()) {
     const auto& [service, fault, reason] = cause;
     page.sample({{"service", service.get()}, {"fault", std::string{faultName(fault)}}, {"reason", reason}}, static_cast<double>(amount));
   }
--- a/src/pooler/pooler_status.cpp
+++ b/src/pooler/pooler_status.cpp
@@ -10,12 +10,12 @@
 
 using Json = nlohmann::json;
 
-std::vector<std::string> unused(const BackEndPool::Shelf& shelf, Instant now) {
+std::vector<std::string> unused(const BackEndPool::DatabasePool& databasePool, Instant now) {
   std::vector<std::string> reasons;
-  if (shelf.suspect) reasons.push_back("suspected");
-  if (shelf.strained()) reasons.push_back("strained");
-  if (shelf.openAfter > now) reasons.push_back("new connections fail");
-  if (shelf.behindUntil > now) reasons.push_back("behind");
+  if (databasePool.suspected) reasons.push_back("suspected");
+  if (databasePool.strained()) reasons.push_back("strained");
+  if (databasePool.nextOpenAt > now) reasons.push_back("new connections fail");
+  if (databasePool.behindUntil > now) reasons.push_back("behind");
   return reasons;
 }
 
@@ -25,19 +25,19 @@
   auto now = clock_.now();
   Json json{{"address", settings_.node.get()}, {"zone", settings_.zone.get()}, {"plan_mark", guide_.planMark().get()},
             {"sessions", sessions_.size()},    {"leaving", draining()},        {"cut_off", cutOff()}};
-  auto hindrance = notReady();
-  json["ready"] = !hindrance;
-  if (hindrance) json["hindrance"] = *hindrance;
+  auto reason = notReadyReason();
+  json["ready"] = !reason;
+  if (reason) json["hindrance"] = *reason;
   if (auto replied = guide_.coreRepliedAt(); replied != Instant{}) json["core_replied_ms_ago"] = milliseconds(now - replied).count();
   struct Precedence {
     std::size_t length = 0;
     Duration longestWait{};
   };
   std::map<std::uint32_t, Precedence> queue;
-  for (const auto& demand : demands_.waiting()) {
-    auto& own = queue[demand->order];
+  for (const auto& request : requests_.waiting()) {
+    auto& own = queue[request->order];
     ++own.length;
-    own.longestWait = std::max(own.longestWait, now - demand->arrivedAt);
+    own.longestWait = std::max(own.longestWait, now - request->arrivedAt);
   }
   json["queue"] = Json::object();
   for (const auto& [order, own] : queue)
@@ -47,11 +47,11 @@
   return json;
 }
 
-std::vector<std::string> Pooler::hindrances(const ServiceName& name, const Guide::ServiceView& view) const {
+std::vector<std::string> Pooler::unavailabilityReasons(const ServiceName& name, const Guide::ServiceView& view) const {
   std::vector<std::string> found;
   const auto& primary = view.primary;
-  const auto* shelf = pool_.find(primary.primary);
-  auto watch = watches_.find(name);
+  const auto* databasePool = pool_.find(primary.primary);
+  auto tracker = trackers_.find(name);
   if (!guide_.leased(name)) found.push_back("no current lease");
   if (primary.primary.get().empty())
     found.push_back("no primary yet");
@@ -59,33 +59,36 @@
     found.push_back("the primary is being recovered");
   else if (view.drained.contains(primary.primary))
     found.push_back("the primary is leaving");
-  else if (shelf && shelf->suspect)
+  else if (databasePool && databasePool->suspected)
     found.push_back("the primary is suspected");
-  if (watch != watches_.end() && watch->second.confirmed != watch->second.seen) found.push_back("work of an epoch before still runs");
-  if (allowed(name, view) == 0) found.push_back("no share");
+  if (tracker != trackers_.end() && tracker->second.confirmedEpoch != tracker->second.observedEpoch)
+    found.push_back("work of an epoch before still runs");
+  if (connectionLimit(name, view) == 0) found.push_back("no share");
   return found;
 }
 
 Json Pooler::serviceStatus(const ServiceName& name, const Guide::ServiceView& view) const {
   auto now = clock_.now();
   const auto& primary = view.primary;
-  Json own{
-      {"epoch", primary.epoch.get()}, {"primary", primary.primary.get()}, {"promoted", primary.promoted}, {"share", allowed(name, view)}};
+  Json own{{"epoch", primary.epoch.get()},
+           {"primary", primary.primary.get()},
+           {"promoted", primary.promoted},
+           {"share", connectionLimit(name, view)}};
   auto lease = guide_.leaseUntil(name);
   own["lease_ms"] = lease ? milliseconds(*lease - now).count() : 0;
   if (auto reason = guide_.shareless(name)) own["shareless"] = *reason;
-  if (auto waits = hindrances(name, view); !waits.empty()) own["waits"] = waits;
+  if (auto waits = unavailabilityReasons(name, view); !waits.empty()) own["waits"] = waits;
   own["databases"] = Json::object();
-  for (const auto& [database, news] : view.databases) {
+  for (const auto& [database, info] : view.databases) {
     auto& entry = own["databases"][database.get()];
-    entry = {{"zone", news.zone.get()}, {"busy", 0}, {"idle", 0}, {"opening", 0}};
+    entry = {{"zone", info.zone.get()}, {"busy", 0}, {"idle", 0}, {"opening", 0}};
     std::vector<std::string> reasons;
-    if (const auto* shelf = pool_.find(database)) {
-      entry["busy"] = shelf->busy.size();
-      entry["idle"] = shelf->idle.size();
-      entry["opening"] = shelf->opening;
-      if (shelf->heardAt != Instant{}) entry["heard_ms_ago"] = milliseconds(now - shelf->heardAt).count();
-      reasons = unused(*shelf, now);
+    if (const auto* databasePool = pool_.find(database)) {
+      entry["busy"] = databasePool->busy.size();
+      entry["idle"] = databasePool->idle.size();
+      entry["opening"] = databasePool->opening;
+      if (databasePool->lastContactAt != Instant{}) entry["heard_ms_ago"] = milliseconds(now - databasePool->lastContactAt).count();
+      reasons = unused(*databasePool, now);
     }
     if (view.drained.contains(database)) reasons.insert(reasons.begin(), "drained");
     if (!reasons.empty()) entry["unused"] = reasons;
--- a/src/pooler/freshness.hpp
+++ b/src/pooler/primary_position_history.hpp
@@ -9,19 +9,19 @@
 namespace tamarindshift {
 
 // Places that the primary's log had reached when it was asked: each covers every commit acknowledged before.
-class Freshness {
+class PrimaryPositionHistory {
  public:
-  static constexpr Duration spacing = 20ms;
-  static constexpr Duration kept = 10s;
+  static constexpr Duration minInterval = 20ms;
+  static constexpr Duration retention = 10s;
 
-  void note(Instant askedAt, Place place);
+  void record(Instant askedAt, Place logPosition);
   std::optional<Place> covering(Instant since) const;
   std::optional<Instant> newest() const;
 
  private:
   struct Sample {
     Instant askedAt;
-    Place place;
+    Place logPosition;
   };
   std::deque<Sample> samples_;
 };
--- a/src/pooler/sending_check.cpp
+++ b/src/pooler/sending_check.cpp
@@ -3,13 +3,13 @@
 namespace tamarindshift {
 
 void checkSending(Journal& journal, const SendingFacts& facts, Duration drainTime) {
-  const auto& place = facts.place;
-  journal.check(Invariant::connectionHeldOnce, facts.heldBySession, place);
+  const auto& context = facts.context;
+  journal.check(Invariant::connectionHeldOnce, facts.heldBySession, context);
   if (!facts.clientWork) return;
-  if (facts.keepsSomething) journal.check(Invariant::writeSentOnce, !facts.mayHaveRunBefore, place);
-  journal.check(Invariant::workUnderLease, facts.leased, place);
-  if (facts.asPrimary) journal.check(Invariant::workInEpoch, facts.inEpoch, place);
-  if (facts.begins && facts.drainedFor) journal.check(Invariant::drainedLeftAlone, *facts.drainedFor <= drainTime, place);
+  if (facts.makesDurable) journal.check(Invariant::writeSentOnce, !facts.mayHaveRunBefore, context);
+  journal.check(Invariant::workUnderLease, facts.leased, context);
+  if (facts.asPrimary) journal.check(Invariant::workInEpoch, facts.inEpoch, context);
+  if (facts.begins && facts.drainedFor) journal.check(Invariant::drainedLeftAlone, *facts.drainedFor <= drainTime, context);
 }
 
 }  // namespace tamarindshift
--- a/src/pooler/sending_check.hpp
+++ b/src/pooler/sending_check.hpp
@@ -12,13 +12,13 @@
 /// What is true at the moment in which a statement of a client goes to a database.
 struct SendingFacts {
   /// Says which statement and which database; asked for only where an invariant is violated.
-  std::function<std::string()> place = [] {
+  std::function<std::string()> context = [] {
     return std::string{};
   };
   bool heldBySession = true;
   /// Work of the client, as against what the pooler lays on a connection or takes back from it.
   bool clientWork = true;
-  bool keepsSomething = false;
+  bool makesDurable = false;
   bool mayHaveRunBefore = false;
   bool leased = true;
   bool asPrimary = false;
--- a/src/pooler/service_watch.hpp
+++ b/src/pooler/service_tracker.hpp
@@ -3,25 +3,25 @@
 #include <set>
 
 #include "control/ration.hpp"
-#include "pooler/freshness.hpp"
+#include "pooler/primary_position_history.hpp"
 
 namespace tamarindshift {
 
 // what a pooler keeps of a service between its news
-struct ServiceWatch {
-  Epoch seen;
-  Epoch confirmed;
+struct ServiceTracker {
+  Epoch observedEpoch;
+  Epoch confirmedEpoch;
   DatabaseName primary;
   Instant finishUntil{};
-  Instant leasedAt{};
+  Instant lastLeasedAt{};
   std::set<DatabaseName> suspects;
   std::set<DatabaseName> strained;
   std::map<DatabaseName, OrderedDemand> demands;
-  Freshness freshness;
-  Instant workedAt{};
-  double demand = 0;
-  std::uint64_t followed = 0;
-  Place acknowledged;
+  PrimaryPositionHistory primaryPositions;
+  Instant lastWorkAt{};
+  double connectionDemand = 0;
+  std::uint64_t appliedMark = 0;
+  Place acknowledgedPosition;
 };
 
 }  // namespace tamarindshift
--- a/src/pooler/statement_reply.hpp
+++ b/src/pooler/statement_reply.hpp
@@ -13,14 +13,14 @@
 struct StatementReply {
   StatementFault fault = StatementFault::none;
   std::string reason;
-  std::optional<Duration> comeBack;
+  std::optional<Duration> retryAfter;
   std::vector<std::string> rows;
   std::string stamp;
   TransactionState state = TransactionState::idle;
 };
 
 // the reply to what the pooler answers itself
-inline StatementReply answeredHere(TransactionState state) {
+inline StatementReply localReply(TransactionState state) {
   StatementReply reply;
   reply.stamp.assign(1, '-');
   reply.state = state;
--- a/tests/awaited_commits_test.cpp
+++ b/tests/awaited_commits_test.cpp
@@ -12,21 +12,21 @@
 struct LostPrimary : DiscoveredCluster {
   explicit LostPrimary(Position acknowledged = Position{100}) : DiscoveredCluster(1) {
     own().working = true;
-    databases.at("d2").place.position = Position{100};
+    databases.at("d2").logPosition.position = Position{100};
     own().acknowledged = Place{Epoch{3}, acknowledged};
     run(200ms);
   }
 
   void saysLeaving(const std::string& name) {
     databases.at(name).heartbeat.leaving = true;
-    databases.tell(name);
+    databases.sendHeartbeat(name);
     run(500ms);
     REQUIRE(replica(0).state().drained(ServiceName{"s1"}, DatabaseName{name}));
   }
 
   void ends(const std::string& name) {
     databases.at(name).up = false;
-    databases.at(name).silent = true;
+    databases.at(name).heartbeatsStopped = true;
   }
 
   void losesPrimary() {
@@ -72,9 +72,9 @@
   LostPrimary cluster;
   if (leavesFirst) cluster.saysLeaving("d2");
   if (!leavesFirst) {
-    cluster.databases.at("d2").dark = true;
+    cluster.databases.at("d2").unresponsive = true;
     cluster.losesPrimary();
-    cluster.databases.at("d2").dark = false;
+    cluster.databases.at("d2").unresponsive = false;
     cluster.saysLeaving("d2");
   } else {
     cluster.losesPrimary();
@@ -96,13 +96,13 @@
   auto silentFor = GENERATE(3s, 12s, 40s);
   CAPTURE(silentFor.count());
   LostPrimary cluster;
-  cluster.databases.at("d2").dark = true;
+  cluster.databases.at("d2").unresponsive = true;
   cluster.own().suspects = {DatabaseName{"d2"}};
   cluster.run(6s);
   cluster.losesPrimary();
   cluster.run(silentFor);
   CHECK(cluster.databases.at("d3").promoteCalls == 0);
-  cluster.databases.at("d2").dark = false;
+  cluster.databases.at("d2").unresponsive = false;
   REQUIRE(cluster.runUntil(10s, [&] {
     return cluster.promoted("d2");
   }));
@@ -129,13 +129,13 @@
   CAPTURE(silentFor.count());
   LostPrimary cluster(Position{95});
   // its heartbeats are lost, but it goes on receiving what the primary commits
-  cluster.databases.at("d2").silent = true;
+  cluster.databases.at("d2").heartbeatsStopped = true;
   cluster.run(12s);
   cluster.reports = false;
   cluster.ends("d1");
   cluster.run(silentFor);
   CHECK(cluster.databases.at("d3").promoteCalls == 0);
-  cluster.databases.at("d2").silent = false;
+  cluster.databases.at("d2").heartbeatsStopped = false;
   REQUIRE(cluster.runUntil(15s, [&] {
     return cluster.databases.at("d2").promoteCalls > 0;
   }));
@@ -146,7 +146,7 @@
   auto darkFor = GENERATE(2s, 5s);
   CAPTURE(darkFor.count());
   LostPrimary cluster(Position{95});
-  cluster.databases.at("d2").dark = true;
+  cluster.databases.at("d2").unresponsive = true;
   cluster.databases.at("d3").promotion = PromotionOutcome::unanswered;
   cluster.ends("d1");
   cluster.own().suspects = {DatabaseName{"d1"}, DatabaseName{"d2"}};
@@ -156,7 +156,7 @@
   cluster.own().acknowledged = Place{Epoch{3}, Position{100}};
   cluster.run(darkFor);
   auto callsBefore = cluster.databases.at("d3").promoteCalls;
-  cluster.databases.at("d2").dark = false;
+  cluster.databases.at("d2").unresponsive = false;
   cluster.startElsewhere("d8", "10.2.0.1:1", "s2");
   REQUIRE(cluster.runUntil(20s, [&] {
     return cluster.promoted("d2");
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -49,7 +49,7 @@
   cluster.databases.at("d3").up = false;
   cluster.start("d9", "replica", Position{0});
   cluster.databases.at("d9").heartbeat.address = address;
-  cluster.databases.tell("d9");
+  cluster.databases.sendHeartbeat("d9");
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.enrolled("d9") && cluster.enrolled("d9")->address == address;
   }));
@@ -111,12 +111,12 @@
 
 TEST_CASE("a database silent for a minute is removed, the primary is not") {
   Discovered cluster;
-  cluster.databases.at("d3").silent = true;
+  cluster.databases.at("d3").heartbeatsStopped = true;
   cluster.run(50s);
   CHECK(cluster.enrolled("d3"));
   cluster.run(15s);
   CHECK_FALSE(cluster.enrolled("d3"));
-  cluster.databases.at("d1").silent = true;
+  cluster.databases.at("d1").heartbeatsStopped = true;
   cluster.run(70s);
   CHECK(cluster.enrolled("d1"));
   CHECK(cluster.promoted("d1"));
@@ -150,7 +150,7 @@
 
 TEST_CASE("a crashed primary that no one works at is replaced after its silence") {
   Discovered cluster;
-  cluster.databases.at("d1").dark = true;
+  cluster.databases.at("d1").unresponsive = true;
   CHECK_FALSE(cluster.runUntil(700ms, [&] {
     return !cluster.promoted("d1");
   }));
@@ -197,7 +197,7 @@
   cluster.follows = false;
   auto& former = cluster.databases.at("d1");
   former.heartbeat.leaving = true;
-  cluster.databases.tell("d1");
+  cluster.databases.sendHeartbeat("d1");
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.service().epoch == Epoch{2};
   }));
@@ -212,7 +212,7 @@
   CHECK(former.demotedWith.front() == Epoch{4});
   cluster.run(400ms);
   CHECK(cluster.databases.at("d2").promoteCalls == 0);
-  cluster.databases.at("d2").place.position = Position{120};
+  cluster.databases.at("d2").logPosition.position = Position{120};
   auto since = cluster.world.now();
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.promoted("d2");
@@ -240,7 +240,7 @@
 
 TEST_CASE("an accepted promotion counts once the database says so itself, or STATUS does") {
   Discovered cluster;
-  cluster.databases.at("d2").leadsWhenAccepted = false;
+  cluster.databases.at("d2").promotesWhenAccepted = false;
   cluster.databases.at("d1").up = false;
   cluster.own().working = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
@@ -249,7 +249,7 @@
   }));
   cluster.run(2s);
   CHECK_FALSE(cluster.service().promoted);
-  cluster.databases.at("d2").silent = true;
+  cluster.databases.at("d2").heartbeatsStopped = true;
   cluster.databases.at("d2").heartbeat.role = "primary";
   REQUIRE(cluster.runUntil(3s, [&] {
     return cluster.promoted("d2");
@@ -266,7 +266,7 @@
   CHECK_FALSE(cluster.runUntil(5s, [&] {
     return cluster.databases.at("d2").promoteCalls + cluster.databases.at("d3").promoteCalls > 0;
   }));
-  cluster.databases.at("d3").place.position = Position{99};
+  cluster.databases.at("d3").logPosition.position = Position{99};
   REQUIRE(cluster.runUntil(8s, [&] {
     return cluster.promoted("d3");
   }));
--- a/tests/duty_proof_test.cpp
+++ b/tests/duty_proof_test.cpp
@@ -16,7 +16,7 @@
     own().working = true;
     for (const char* name : {"d2", "d3"}) databases.at(name).promotion = PromotionOutcome::unanswered;
     databases.at("d1").up = false;
-    databases.at("d1").silent = true;
+    databases.at("d1").heartbeatsStopped = true;
     own().suspects = {DatabaseName{"d1"}};
     REQUIRE(runUntil(5s, [&] {
       return !databases.holders().empty();
@@ -92,7 +92,7 @@
   LostDuty cluster;
   cluster.ownClocks[0]->freeze();
   cluster.databases.at("d2").heartbeat.leaving = true;
-  cluster.databases.tell("d2");
+  cluster.databases.sendHeartbeat("d2");
   cluster.run(300ms);
   cluster.platformTakesCalls();
   cluster.run(still * 100ms);
--- a/tests/failure_log_test.cpp
+++ b/tests/failure_log_test.cpp
@@ -67,11 +67,11 @@
     failed.trace.service = ServiceName{"s1"};
     failed.fault = StatementFault::busy;
     failed.reason = "no current lease";
-    log.note(failed);
-    log.review(at);
+    log.record(failed);
+    log.endQuietEpisodes(at);
   }
   CHECK(lines.size() == 1);
-  log.review(at + 2s);
+  log.endQuietEpisodes(at + 2s);
   CHECK(lines.size() == 2);
   CHECK(linesWith(lines, "500 statements failed") == 1);
   CHECK(log.json(at, {}).size() == 256);
@@ -86,9 +86,9 @@
     FailedStatement failed;
     failed.fault = StatementFault::other;
     failed.reason = "reason " + std::to_string(index);
-    log.note(failed);
+    log.record(failed);
   }
-  CHECK(log.sums().size() <= 129);
+  CHECK(log.totals().size() <= 129);
 }
 
 TEST_CASE("metrics: each line of a page is a comment or a sample") {
@@ -127,7 +127,7 @@
     failed.host = noText;
     failed.fault = StatementFault::other;
     failed.reason = noText + std::to_string(index);
-    log.note(failed);
+    log.record(failed);
   }
   std::string page;
   REQUIRE_NOTHROW(page = log.json(Instant{}, {}).dump());
@@ -136,7 +136,7 @@
   for (const auto& line : lines) logged += line.size();
   CHECK(logged < (1 << 17));
   std::size_t held = 0;
-  for (const auto& [cause, sum] : log.sums()) held += std::get<std::string>(cause).size();
+  for (const auto& [cause, sum] : log.totals()) held += std::get<std::string>(cause).size();
   CHECK(held < (1 << 17));
 }
 
--- a/tests/former_primary_test.cpp
+++ b/tests/former_primary_test.cpp
@@ -18,18 +18,18 @@
       return promoted("d2");
     }));
     run(1s);
-    for (const char* name : {"d2", "d3"}) databases.at(name).newestTerm = databases.at("d2").place.epoch;
+    for (const char* name : {"d2", "d3"}) databases.at(name).newestTerm = databases.at("d2").logPosition.epoch;
   }
 
   // the former primary is reached again and still says that it leads, the next one crashes
   void comesBack() {
-    databases.at("d1").dark = false;
+    databases.at("d1").unresponsive = false;
     own().suspects = {};
-    databases.tell("d1");
+    databases.sendHeartbeat("d1");
     run(20ms);
     for (const char* name : {"d2", "d3"}) {
       databases.at(name).up = false;
-      databases.at(name).silent = true;
+      databases.at(name).heartbeatsStopped = true;
     }
     own().suspects = {DatabaseName{"d2"}};
   }
@@ -40,7 +40,7 @@
     while (world.now() < deadline && !promoted("d1")) {
       auto& former = databases.at("d1");
       former.heartbeat.role = "primary";
-      databases.tell("d1");
+      databases.sendHeartbeat("d1");
       run(10ms);
     }
     return promoted("d1");
@@ -64,7 +64,7 @@
 
 TEST_CASE("a former primary whose promotion has no effect is never taken for the primary") {
   FormerPrimary cluster;
-  cluster.databases.at("d1").leadsWhenAccepted = false;
+  cluster.databases.at("d1").promotesWhenAccepted = false;
   cluster.comesBack();
   CHECK_FALSE(cluster.promotedWhileTelling(15s));
   CHECK(cluster.databases.at("d1").promoteCalls >= 2);
@@ -74,7 +74,7 @@
   DiscoveredCluster cluster;
   cluster.own().working = true;
   cluster.databases.at("d1").up = false;
-  cluster.databases.at("d1").silent = true;
+  cluster.databases.at("d1").heartbeatsStopped = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(5s, [&] {
     return cluster.databases.at("d2").promoteCalls > 0;
--- a/tests/invariant_checks_test.cpp
+++ b/tests/invariant_checks_test.cpp
@@ -5,7 +5,7 @@
 #include "control/duty_epoch_check.hpp"
 #include "control/plan_version_check.hpp"
 #include "control/share_check.hpp"
-#include "pooler/answer_check.hpp"
+#include "pooler/reply_check.hpp"
 #include "tests/check_trial.hpp"
 
 using namespace tamarindshift;
@@ -23,7 +23,7 @@
 TEST_CASE("invariants: a kept write acknowledged without a lease or in another epoch is noticed") {
   CheckTrial trial;
   AcknowledgementFacts facts;
-  facts.keepsSomething = true;
+  facts.makesDurable = true;
   checkAcknowledgement(trial.journal, facts);
   CHECK(trial.violations() == 0);
   SECTION("without a lease") {
@@ -35,7 +35,7 @@
   checkAcknowledgement(trial.journal, facts);
   CHECK(trial.violations() == 1);
   CHECK(trial.violated(Invariant::acknowledgedUnderLease) == 1);
-  facts.keepsSomething = false;
+  facts.makesDurable = false;
   checkAcknowledgement(trial.journal, facts);
   CHECK(trial.violations() == 0);
   CHECK(trial.checked(Invariant::acknowledgedUnderLease) == 3);
@@ -43,12 +43,12 @@
 
 TEST_CASE("invariants: a statement that is held past its bound is noticed") {
   CheckTrial trial;
-  checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 1200ms, noon + 800ms}, somewhere);
+  checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 1200ms, noon + 800ms}, somewhere);
   CHECK(trial.violations() == 0);
-  checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 9s, Instant::max()}, somewhere);
-  checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 9s, noon + 800ms, true}, somewhere);
+  checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 9s, Instant::max()}, somewhere);
+  checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 9s, noon + 800ms, true}, somewhere);
   CHECK(trial.violations() == 0);
-  checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 1301ms, noon + 800ms}, somewhere);
+  checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 1301ms, noon + 800ms}, somewhere);
   CHECK(trial.violations() == 1);
   REQUIRE(trial.lines.size() == 1);
   CHECK(trial.lines.front().find("'7' of r1 was held for 1301 ms") != std::string::npos);
--- a/tests/invariant_test.cpp
+++ b/tests/invariant_test.cpp
@@ -11,7 +11,7 @@
 struct Trial : CheckTrial {
   SendingFacts sound() const {
     SendingFacts facts;
-    facts.keepsSomething = true;
+    facts.makesDurable = true;
     facts.asPrimary = true;
     return facts;
   }
@@ -65,7 +65,7 @@
   Trial trial;
   auto allowed = trial.sound();
   SECTION("a read after a read that may have run") {
-    allowed.keepsSomething = false;
+    allowed.makesDurable = false;
     allowed.mayHaveRunBefore = true;
   }
   SECTION("a replica needs no epoch") {
@@ -100,7 +100,7 @@
   FleetPlanNews older;
   older.mark = PlanMark{1};
   for (const auto& [name, kind] : trial.kinds) older.kinds[name] = kind.service;
-  trial.news.putPlan(fleetTopic, older);
+  trial.updates.putPlan(fleetTopic, older);
   trial.run(200ms);
   CHECK(SimulatedJournal::takeViolations().size() == 1);
   CHECK(trial.journal.invariant(Invariant::planNeverGoesBack).violated == 1);
--- a/tests/platform/adapter_programs.cpp
+++ b/tests/platform/adapter_programs.cpp
@@ -12,7 +12,7 @@
       agent_(process.clock(), link_, process.journal(), agentSettings(process), boot_),
       guide_(process.clock(), wrapped<NewsFeed>(wraps_.feed, agent_, feed_), process.machine().internal(), boot_),
       wireBackEnds_(process.lines(), "pooler"),
-      pooler_(process.clock(), guide_, wrapped<BackEnds>(wraps_.backEnds, wireBackEnds_, backEnds_), process.journal(),
+      pooler_(process.clock(), guide_, wrapped<BackEndConnector>(wraps_.backEnds, wireBackEnds_, backEnds_), process.journal(),
               poolerSettings(process), boot_,
               [this](NodeReport report) {
                 agent_.report(std::move(report));
@@ -31,7 +31,7 @@
 
 void AccessProgram::settingsChanged() {
   agent_.change(agentSettings(process_));
-  pooler_.change(poolerSettings(process_));
+  pooler_.updateSettings(poolerSettings(process_));
 }
 
 CoreProgram::CoreProgram(PlatformProcess& process, AdapterWraps wraps)
--- a/tests/platform/adapter_programs.hpp
+++ b/tests/platform/adapter_programs.hpp
@@ -18,7 +18,7 @@
   AccessProgram(PlatformProcess& process, AdapterWraps wraps);
   Task<void> stop() override;
   void settingsChanged() override;
-  std::optional<std::string> notReady() const override { return pooler_.notReady(); }
+  std::optional<std::string> notReady() const override { return pooler_.notReadyReason(); }
   Pooler& pooler() { return pooler_; }
   AgentNode& agent() { return agent_; }
   DoorKeeper& readiness() { return readinessDoor_; }
@@ -32,7 +32,7 @@
   std::unique_ptr<NewsFeed> feed_;
   Guide guide_;
   platform::WireBackEnds wireBackEnds_;
-  std::unique_ptr<BackEnds> backEnds_;
+  std::unique_ptr<BackEndConnector> backEnds_;
   Pooler pooler_;
   platform::FrontDoor frontDoor_;
   platform::ReadinessDoor readinessDoor_;
--- a/tests/platform/adapter_wraps.hpp
+++ b/tests/platform/adapter_wraps.hpp
@@ -12,7 +12,7 @@
 
 // what a test lays between the parts of the adapter's programs to break a rule; each may be left out
 struct AdapterWraps {
-  std::function<std::unique_ptr<BackEnds>(BackEnds&)> backEnds;
+  std::function<std::unique_ptr<BackEndConnector>(BackEndConnector&)> backEnds;
   std::function<std::unique_ptr<NewsFeed>(NewsFeed&)> feed;
   std::function<std::unique_ptr<DatabaseControl>(DatabaseControl&)> databases;
   std::function<std::unique_ptr<DoorKeeper>(DoorKeeper&)> control;
--- a/tests/platform/broken_adapters.cpp
+++ b/tests/platform/broken_adapters.cpp
@@ -22,31 +22,31 @@
   BackEndRun run_;
 };
 
-class OtherRuns : public BackEnds {
+class OtherRuns : public BackEndConnector {
  public:
-  OtherRuns(BackEnds& own, BackEndRun run) : own_(own), run_(run) {}
-  Task<BackEndOpening> open(DatabaseTarget target, Instant deadline) override {
+  OtherRuns(BackEndConnector& own, BackEndRun run) : own_(own), run_(run) {}
+  Task<BackEndOpenResult> open(DatabaseTarget target, Instant deadline) override {
     auto opening = co_await own_.open(std::move(target), deadline);
     if (opening.connection) opening.connection = std::make_unique<OtherConnection>(std::move(opening.connection), run_);
     co_return opening;
   }
 
  private:
-  BackEnds& own_;
+  BackEndConnector& own_;
   BackEndRun run_;
 };
 
-class AnotherService : public BackEnds {
+class AnotherService : public BackEndConnector {
  public:
-  explicit AnotherService(BackEnds& own) : own_(own) {}
-  Task<BackEndOpening> open(DatabaseTarget target, Instant deadline) override {
+  explicit AnotherService(BackEndConnector& own) : own_(own) {}
+  Task<BackEndOpenResult> open(DatabaseTarget target, Instant deadline) override {
     if (target.service == ServiceName{"service-2"}) seen_ = target;
     if (seen_) target = *seen_;
     co_return co_await own_.open(std::move(target), deadline);
   }
 
  private:
-  BackEnds& own_;
+  BackEndConnector& own_;
   std::optional<DatabaseTarget> seen_;
 };
 
@@ -169,7 +169,7 @@
 
 AdapterWraps runsOtherwise(BackEndRun run) {
   AdapterWraps wraps;
-  wraps.backEnds = [run](BackEnds& own) {
+  wraps.backEnds = [run](BackEndConnector& own) {
     return std::make_unique<OtherRuns>(own, run);
   };
   return wraps;
@@ -177,7 +177,7 @@
 
 AdapterWraps sendsToAnotherService() {
   AdapterWraps wraps;
-  wraps.backEnds = [](BackEnds& own) {
+  wraps.backEnds = [](BackEndConnector& own) {
     return std::make_unique<AnotherService>(own);
   };
   return wraps;
--- a/tests/platform/broken_adapters_test.cpp
+++ b/tests/platform/broken_adapters_test.cpp
@@ -63,7 +63,7 @@
   CHECK(brokenBy([](BackEndConnection& own, Statement statement, std::optional<Place> after, Instant deadline) -> Task<BackEndReply> {
           auto again = statement;
           auto reply = co_await own.run(std::move(statement), after, deadline);
-          if (again.kind != StatementKind::write || reply.fate != BackEndFate::replied) co_return reply;
+          if (again.kind != StatementKind::write || reply.outcome != BackEndOutcome::replied) co_return reply;
           co_return co_await own.run(std::move(again), after, deadline);
         }).contains("TWICE"));
 }
@@ -80,7 +80,7 @@
   CHECK(brokenBy([](BackEndConnection& own, Statement statement, std::optional<Place> after, Instant deadline) -> Task<BackEndReply> {
           if (statement.kind != StatementKind::set) co_return co_await own.run(std::move(statement), after, deadline);
           BackEndReply reply;
-          reply.fate = BackEndFate::replied;
+          reply.outcome = BackEndOutcome::replied;
           reply.stamp = "-";
           co_return reply;
         }).contains("PINNED"));
--- a/tests/platform/control_door_test.cpp
+++ b/tests/platform/control_door_test.cpp
@@ -86,7 +86,7 @@
   REQUIRE(cluster.replace(0, cluster.configuration(10)) == 200);
   cluster.run(1s);
   cluster.cutOff(2);
-  cluster.databases.at("d3").silent = true;
+  cluster.databases.at("d3").heartbeatsStopped = true;
   for (int second = 0; second < 20; ++second) {
     INFO("second " << second);
     CHECK(cluster.replace(2, cluster.configuration(10)) >= 500);
@@ -173,7 +173,7 @@
 
 TEST_CASE("a database that sends Detach first and goes on beating is not taken in again") {
   ControlDoors cluster;
-  cluster.databases.at("d3").silent = true;
+  cluster.databases.at("d3").heartbeatsStopped = true;
   CHECK(cluster.detach(1, "d3") == 200);
   for (std::uint64_t number = 100; number < 108; ++number) {
     CHECK(cluster.beat(number % 3, "d3", number) == 200);
@@ -185,7 +185,7 @@
 
 TEST_CASE("a heartbeat that says quiescing is acknowledged by no member before the drain is ordered, though another relayed it") {
   ControlDoors cluster;
-  cluster.databases.at("d3").silent = true;
+  cluster.databases.at("d3").heartbeatsStopped = true;
   cluster.run(100ms);
   // the first member hears it, relays it and loses the group before it could order the drain
   TaskScope tasks;
--- a/tests/platform/front_door_leaving_test.cpp
+++ b/tests/platform/front_door_leaving_test.cpp
@@ -47,7 +47,7 @@
   }
   CHECK(trial.pooler->sessions() == 50);
   trial.pooler->drain();
-  trial.run(trial.settings.drainServes + 500ms);
+  trial.run(trial.settings.drainServingTime + 500ms);
   for (const auto& line : lines) CHECK(line->closed());
   CHECK(trial.pooler->sessions() == 0);
 }
--- a/tests/platform/front_door_limits_test.cpp
+++ b/tests/platform/front_door_limits_test.cpp
@@ -15,7 +15,7 @@
     plan.mark = PlanMark{100};
     for (const auto& [name, kind] : kinds) plan.kinds[name] = kind.service;
     plan.limits = {{"idle-transaction-ms", 3000}, {"idle-session-ms", 5000}, {"message-bytes", 200}};
-    news.putPlan(fleetTopic, plan);
+    updates.putPlan(fleetTopic, plan);
     run(200ms);
   }
   std::shared_ptr<ScriptedLine> session() {
@@ -27,7 +27,7 @@
   std::string say(ScriptedLine& line, const std::string& bytes) {
     line.arrive(bytes);
     run(50ms);
-    return line.taken();
+    return line.takeWritten();
   }
   platform::FrontDoor door{clock, *pooler};
   TaskScope scope;
@@ -55,7 +55,7 @@
     trial.run(900ms);
   }
   CHECK(rests->closed());
-  CHECK(rests->taken().empty());
+  CHECK(rests->takeWritten().empty());
   CHECK_FALSE(works->closed());
   CHECK(trial.pooler->sessions() == 1);
 }
@@ -68,13 +68,13 @@
   auto inside = trial.session();
   CHECK(trial.say(*inside, "QUERY u.1 BEGIN\r\n") == "COMPLETE -\r\nIDLE T -\r\n");
   auto asks = trial.session();
-  trial.backEnds.at("d1").work = 9s;
+  trial.backEnds.at("d1").runTime = 9s;
   CHECK(trial.say(*asks, "QUERY u.2 WRITE a 1\r\n").empty());
   trial.run(7s);
   CHECK_FALSE(inside->closed());
   CHECK_FALSE(asks->closed());
   trial.run(2500ms);
-  CHECK(asks->taken().starts_with("COMPLETE"));
+  CHECK(asks->takeWritten().starts_with("COMPLETE"));
   CHECK_FALSE(asks->closed());
 }
 
@@ -98,12 +98,12 @@
   trial.say(*line, "SETUP strict u1\r\n");
   trial.run(100ms);
   CHECK(line->closed());
-  CHECK(trial.counted("sessions.threw") == 1);
+  CHECK(trial.counterValue("sessions.threw") == 1);
   // finished sessions are looked at once there are many
   for (int number = 0; number < 40; ++number) {
     auto next = trial.session();
     CHECK_FALSE(next->closed());
-    next->farCloses();
+    next->closeByPeer();
     trial.run(10ms);
   }
   CHECK(trial.say(*before, "QUERY q1 READ a\r\n").find("COMPLETE") != std::string::npos);
--- a/tests/platform/line_door_trial.hpp
+++ b/tests/platform/line_door_trial.hpp
@@ -8,7 +8,7 @@
 #include "real/tcp_line_door.hpp"
 #include "simulated/simulated_journal.hpp"
 #include "tests/scripted_back_ends.hpp"
-#include "tests/scripted_news.hpp"
+#include "tests/scripted_updates.hpp"
 
 namespace tamarindshift {
 
@@ -77,7 +77,7 @@
 
   boost::asio::io_context context{1};
   RealClock clock{context};
-  ScriptedNews news{clock};
+  ScriptedUpdates news{clock};
   Address node{"10.1.0.1:1"};
   std::uint64_t boot = 5;
   Guide guide{clock, news, node, boot};
--- a/tests/platform/platform_wire_test.cpp
+++ b/tests/platform/platform_wire_test.cpp
@@ -28,7 +28,7 @@
   std::string say(ScriptedLine& line, const std::string& bytes, Duration wait = 50ms) {
     line.arrive(bytes);
     run(wait);
-    return line.taken();
+    return line.takeWritten();
   }
   FrontDoor door;
   TaskScope scope;
@@ -47,7 +47,7 @@
     }
     std::unique_ptr<ScriptedLine> line;
   };
-  Task<void> opening(BackEnds& backEnds, std::optional<BackEndOpening>& opened) {
+  Task<void> opening(BackEndConnector& backEnds, std::optional<BackEndOpenResult>& opened) {
     DatabaseTarget target{ServiceName{"s1"}, DatabaseName{"d1"}, Address{"10.2.0.1:1"}};
     opened = co_await backEnds.open(target, clock.now() + 500ms);
   }
@@ -75,7 +75,7 @@
   SimulatedClock clock;
   Link link;
   WireBackEnds backEnds{link, "pooler"};
-  std::optional<BackEndOpening> opened;
+  std::optional<BackEndOpenResult> opened;
   TaskScope scope;
 };
 
@@ -213,8 +213,8 @@
 
 TEST_CASE("front: SETUP without a lease is CONGESTED with when to come back and a close", "[front]") {
   FrontTrial trial;
-  trial.news.endLease(fleetTopic);
-  trial.news.endLease("s1");
+  trial.updates.endLease(fleetTopic);
+  trial.updates.endLease("s1");
   auto line = trial.guest();
   auto answer = trial.say(*line, "SETUP nowhere u1\r\n", 1900ms);
   CHECK(answer.starts_with("ERROR CONGESTED "));
@@ -303,7 +303,7 @@
   auto half = GENERATE(as<std::string>{}, "QUERY u.3 WRITE a 2", "QUERY u.3 COMMIT", "QUERY u.3 COMMIT\r", "QUERY u.3 COMMIT\n", "Q");
   line->arrive(half);
   trial.run(50ms);
-  line->farCloses();
+  line->closeByPeer();
   trial.run(50ms);
   CHECK(line->closed());
   CHECK(trial.backEnds.at("d1").committed.empty());
@@ -314,10 +314,10 @@
   FrontTrial trial;
   auto line = trial.session();
   trial.say(*line, "QUERY u.1 BEGIN\r\n");
-  trial.backEnds.at("d1").work = 100ms;
+  trial.backEnds.at("d1").runTime = 100ms;
   line->arrive("QUERY u.2 WRITE a 1\r\n");
   trial.run(20ms);
-  line->farCloses();
+  line->closeByPeer();
   trial.run(500ms);
   CHECK(trial.pooler->sessions() == 0);
   CHECK(trial.backEnds.at("d1").committed.empty());
@@ -363,7 +363,7 @@
   REQUIRE(trial.opened->connection);
   CHECK(line.written == "SETUP s1 pooler d1\r\n");
   CHECK(trial.opened->answered);
-  CHECK(trial.opened->place == Place{Epoch{3}, Position{7}});
+  CHECK(trial.opened->logPosition == Place{Epoch{3}, Position{7}});
 }
 
 TEST_CASE("back: a refused SETUP is answered, a closed or silent one is not", "[back]") {
@@ -398,23 +398,23 @@
 TEST_CASE("back: statements go out with id, AFTER and text, replies come back whole", "[back]") {
   BackTrial trial;
   auto& line = trial.open();
-  line.taken();
+  line.takeWritten();
   auto reply =
       trial.ask(line, "READ 1a4", "ROW qhzk  wmt\r\nROW\r\nCOMPLETE 7.1f3.c\r\nIDLE I 3.1209\r\n", Place{Epoch{3}, Position{1207}});
-  CHECK(line.taken() == "QUERY i1 AFTER 3.1207 READ 1a4\r\n");
+  CHECK(line.takeWritten() == "QUERY i1 AFTER 3.1207 READ 1a4\r\n");
   REQUIRE(reply);
-  CHECK(reply->fate == BackEndFate::replied);
+  CHECK(reply->outcome == BackEndOutcome::replied);
   CHECK(reply->fault == StatementFault::none);
   CHECK(reply->rows == std::vector<std::string>{"qhzk  wmt", ""});
   CHECK(reply->stamp == "7.1f3.c");
   CHECK(reply->state == TransactionState::idle);
-  CHECK(reply->place == Place{Epoch{3}, Position{1209}});
+  CHECK(reply->logPosition == Place{Epoch{3}, Position{1209}});
   reply = trial.ask(line, "WRITE 1a4 x", "ERROR READONLY i-7f3a91c2 and more\r\nIDLE E -\r\n");
-  CHECK(line.taken() == "QUERY i1 WRITE 1a4 x\r\n");
+  CHECK(line.takeWritten() == "QUERY i1 WRITE 1a4 x\r\n");
   CHECK(reply->fault == StatementFault::readOnly);
   CHECK(reply->reason == "i-7f3a91c2 and more");
   CHECK(reply->state == TransactionState::failed);
-  CHECK_FALSE(reply->place);
+  CHECK_FALSE(reply->logPosition);
   CHECK(trial.opened->connection->usable());
 }
 
@@ -426,9 +426,9 @@
   INFO(answer);
   auto reply = trial.ask(line, "READ a", answer);
   REQUIRE(reply);
-  CHECK(reply->fate == BackEndFate::lost);
+  CHECK(reply->outcome == BackEndOutcome::lost);
   CHECK_FALSE(trial.opened->connection->usable());
-  CHECK(trial.ask(line, "READ a", "")->fate == BackEndFate::unsent);
+  CHECK(trial.ask(line, "READ a", "")->outcome == BackEndOutcome::unsent);
 }
 
 TEST_CASE("back: a line that nobody asked for is no reply to the next statement, which stays unsent", "[back]") {
@@ -437,16 +437,16 @@
   auto unasked =
       GENERATE(as<std::string>{}, "COMPLETE 7.1.late\r\nIDLE I 3.7\r\n", "ROW x\r\n", "C", "ERROR CONGESTED late\r\nIDLE I -\r\n");
   INFO(unasked);
-  REQUIRE(trial.ask(line, "READ a", "ROW v\r\nCOMPLETE 7.1\r\nIDLE I 3.7\r\n")->fate == BackEndFate::replied);
-  line.taken();
+  REQUIRE(trial.ask(line, "READ a", "ROW v\r\nCOMPLETE 7.1\r\nIDLE I 3.7\r\n")->outcome == BackEndOutcome::replied);
+  line.takeWritten();
   SECTION("behind a reply") {
     line.arrive(unasked);
     trial.world.runUntil(trial.world.now() + 10ms);
     CHECK_FALSE(trial.opened->connection->usable());
     auto reply = trial.ask(line, "WRITE a 1", "COMPLETE 7.2\r\nIDLE I 3.8\r\n");
     REQUIRE(reply);
-    CHECK(reply->fate == BackEndFate::unsent);
-    CHECK(line.taken().empty());
+    CHECK(reply->outcome == BackEndOutcome::unsent);
+    CHECK(line.takeWritten().empty());
   }
   SECTION("together with a reply") {
     auto reply = trial.ask(line, "READ b", "ROW w\r\nCOMPLETE 7.2\r\nIDLE I 3.8\r\n" + unasked);
@@ -460,7 +460,7 @@
   BackTrial trial;
   auto& line = trial.open();
   auto reply = trial.ask(line, "READ a", "ERROR WHATEVER x\r\nIDLE I 3.7\r\n");
-  CHECK(reply->fate == BackEndFate::replied);
+  CHECK(reply->outcome == BackEndOutcome::replied);
   CHECK(reply->fault == StatementFault::other);
 }
 
@@ -469,5 +469,5 @@
   auto& line = trial.open();
   auto reply = trial.ask(line, "WRITE a 1", "IDLE I 3.7\r\n");
   REQUIRE(reply);
-  CHECK((reply->fate == BackEndFate::lost || reply->fault != StatementFault::none));
+  CHECK((reply->outcome == BackEndOutcome::lost || reply->fault != StatementFault::none));
 }
--- a/tests/pooler_crowded_test.cpp
+++ b/tests/pooler_crowded_test.cpp
@@ -9,17 +9,17 @@
 namespace {
 
 struct CrowdedTrial : PoolerTrial {
-  explicit CrowdedTrial(std::uint64_t seed) : PoolerTrial(choice(seed)) { backEnds.at("d1").work = 20ms; }
-  static Choice choice(std::uint64_t seed) {
-    Choice choice;
-    choice.seed = seed;
-    choice.share = 12;
-    return choice;
+  explicit CrowdedTrial(std::uint64_t seed) : PoolerTrial(options(seed)) { backEnds.at("d1").runTime = 20ms; }
+  static Options options(std::uint64_t seed) {
+    Options options;
+    options.seed = seed;
+    options.share = 12;
+    return options;
   }
   std::size_t clients = 0;
   void press(std::size_t count, Duration duration) {
     std::vector<std::unique_ptr<TrialClient>> crowd;
-    std::vector<std::shared_ptr<Asked>> asked(count);
+    std::vector<std::shared_ptr<ClientStatement>> asked(count);
     for (std::size_t number = 0; number < count; ++number) crowd.push_back(client("c" + std::to_string(++clients)));
     auto until = world.now() + duration;
     while (world.now() < until) {
--- a/tests/pooler_drain_test.cpp
+++ b/tests/pooler_drain_test.cpp
@@ -15,9 +15,9 @@
 TEST_CASE("pooler drain: a draining node is not ready at once and serves for drainServes", "[pooler][drain]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
-  CHECK_FALSE(trial.pooler->notReady());
+  CHECK_FALSE(trial.pooler->notReadyReason());
   trial.pooler->drain();
-  CHECK(trial.pooler->notReady());
+  CHECK(trial.pooler->notReadyReason());
   for (int times = 0; times < 10; ++times) {
     CHECK(alice->ask("WRITE a 1") == "OK");
     auto bob = trial.client("bob");
@@ -119,22 +119,22 @@
 }
 
 TEST_CASE("pooler drain: readiness needs a lease and a share", "[pooler][drain]") {
-  PoolerTrial::Choice choice;
-  choice.published = false;
-  PoolerTrial trial(choice);
-  CHECK(trial.pooler->notReady());
-  trial.route("strict", Consistency::primary);
+  PoolerTrial::Options options;
+  options.published = false;
+  PoolerTrial trial(options);
+  CHECK(trial.pooler->notReadyReason());
+  trial.addRoute("strict", Consistency::primary);
   trial.publishFleet();
   trial.publishService();
   trial.run(20ms);
-  CHECK(trial.pooler->notReady());
-  trial.share(2);
+  CHECK(trial.pooler->notReadyReason());
+  trial.publishShare(2);
   trial.run(20ms);
-  CHECK_FALSE(trial.pooler->notReady());
+  CHECK_FALSE(trial.pooler->notReadyReason());
   trial.endLease();
-  CHECK(trial.pooler->notReady());
+  CHECK(trial.pooler->notReadyReason());
   trial.renewLease();
-  CHECK_FALSE(trial.pooler->notReady());
-  trial.news.endLease(fleetTopic);
-  CHECK(trial.pooler->notReady());
+  CHECK_FALSE(trial.pooler->notReadyReason());
+  trial.updates.endLease(fleetTopic);
+  CHECK(trial.pooler->notReadyReason());
 }
--- a/tests/pooler_endings_test.cpp
+++ b/tests/pooler_endings_test.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-void congestedIn(TrialClient& client, const std::string& text, Duration least, Duration most) {
+void expectCongested(TrialClient& client, const std::string& text, Duration least, Duration most) {
   CHECK(client.ask(text) == "CONGESTED");
-  CHECK(client.last->reply->comeBack);
-  CHECK(client.last->taken() >= least);
-  CHECK(client.last->taken() <= most);
+  CHECK(client.last->reply->retryAfter);
+  CHECK(client.last->elapsed() >= least);
+  CHECK(client.last->elapsed() <= most);
   CHECK(client.last->reply->state == TransactionState::idle);
 }
 
@@ -22,16 +22,16 @@
   PoolerTrial trial;
   for (const char* name : {"d1", "d2", "d3"}) trial.backEnds.at(name).opening = ScriptedOpening::overloaded;
   auto alice = trial.client("alice");
-  congestedIn(*alice, "WRITE a 1", 440ms, 460ms);
-  congestedIn(*alice, "READ a", 440ms, 460ms);
+  expectCongested(*alice, "WRITE a 1", 440ms, 460ms);
+  expectCongested(*alice, "READ a", 440ms, 460ms);
   CHECK(trial.backEnds.runs.empty());
 }
 
 TEST_CASE("pooler ends: no primary in time is CONGESTED", "[pooler][endings]") {
   PoolerTrial trial;
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   auto alice = trial.client("alice");
-  congestedIn(*alice, "WRITE a 1", 440ms, 460ms);
+  expectCongested(*alice, "WRITE a 1", 440ms, 460ms);
   CHECK(trial.runsOf("WRITE a 1").empty());
 }
 
@@ -39,38 +39,38 @@
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.endLease();
-  congestedIn(*alice, "WRITE a 1", 440ms, 460ms);
+  expectCongested(*alice, "WRITE a 1", 440ms, 460ms);
   CHECK(alice->ask("BEGIN") == "OK");
   CHECK(alice->ask("READ a") == "CONGESTED");
   CHECK(alice->last->reply->state == TransactionState::failed);
   CHECK(alice->ask("ROLLBACK") == "OK");
   CHECK(trial.backEnds.runs.empty());
-  trial.news.endLease(fleetTopic);
+  trial.updates.endLease(fleetTopic);
   auto bob = trial.client("bob", "nowhere");
   CHECK_FALSE(bob->session);
   CHECK(bob->refusal.fault == StatementFault::busy);
-  CHECK(bob->refusal.comeBack);
+  CHECK(bob->refusal.retryAfter);
 }
 
 TEST_CASE("pooler ends: work without a lease for long is held for little of its bound, a session not at all", "[pooler][endings]") {
   PoolerTrial trial;
-  trial.news.replicasReply = true;
+  trial.updates.replicasReply = true;
   auto alice = trial.client("alice");
   REQUIRE(alice->ask("READ a") == "OK");
   trial.endLease();
-  trial.news.endLease(fleetTopic);
+  trial.updates.endLease(fleetTopic);
   trial.run(1200ms);
-  for (const char* text : {"WRITE a 1", "READ a"}) congestedIn(*alice, text, 145ms, 155ms);
+  for (const char* text : {"WRITE a 1", "READ a"}) expectCongested(*alice, text, 145ms, 155ms);
   auto asked = trial.clock.now();
   auto bob = trial.client("bob", "nowhere");
   CHECK_FALSE(bob->session);
-  CHECK(bob->refusal.comeBack);
+  CHECK(bob->refusal.retryAfter);
   CHECK(trial.clock.now() - asked <= 5ms);
 }
 
 TEST_CASE("pooler ends: no client is held to its deadline by tries while no lease comes", "[pooler][endings]") {
   PoolerTrial trial;
-  trial.news.replicasReply = true;
+  trial.updates.replicasReply = true;
   auto alice = trial.client("alice");
   REQUIRE(alice->ask("READ a") == "OK");
   trial.endLease();
@@ -106,7 +106,7 @@
   CHECK_FALSE(asked->reply);
   trial.renewLease();
   CHECK(alice->finish(asked) == "OK");
-  CHECK(asked->taken() < 340ms);
+  CHECK(asked->elapsed() < 340ms);
 }
 
 TEST_CASE("pooler ends: a leaving node refuses sessions with CONGESTED", "[pooler][endings]") {
@@ -116,13 +116,13 @@
   auto alice = trial.client("alice");
   CHECK_FALSE(alice->session);
   CHECK(alice->refusal.fault == StatementFault::busy);
-  CHECK(alice->refusal.comeBack);
+  CHECK(alice->refusal.retryAfter);
 }
 
 TEST_CASE("pooler ends: too many sessions are refused with CONGESTED, after one has gone there is room", "[pooler][endings]") {
-  PoolerTrial::Choice choice;
-  choice.settings.sessions = 2;
-  PoolerTrial trial(choice);
+  PoolerTrial::Options options;
+  options.settings.maxSessions = 2;
+  PoolerTrial trial(options);
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
   CHECK(trial.client("carol")->refusal.fault == StatementFault::busy);
@@ -131,11 +131,11 @@
 }
 
 TEST_CASE("pooler ends: too many waiting statements are refused at once with CONGESTED", "[pooler][endings]") {
-  PoolerTrial::Choice choice;
-  choice.settings.waiting = 2;
-  choice.share = 1;
-  PoolerTrial trial(choice);
-  trial.backEnds.at("d1").work = 200ms;
+  PoolerTrial::Options options;
+  options.settings.maxWaiting = 2;
+  options.share = 1;
+  PoolerTrial trial(options);
+  trial.backEnds.at("d1").runTime = 200ms;
   std::vector<std::unique_ptr<TrialClient>> clients;
   for (int number = 0; number < 4; ++number) clients.push_back(trial.client("c" + std::to_string(number)));
   auto running = clients[0]->start("WRITE a 0");
@@ -144,8 +144,8 @@
   auto second = clients[2]->start("WRITE a 2");
   trial.run(5ms);
   CHECK(clients[3]->ask("WRITE a 3") == "CONGESTED");
-  CHECK(clients[3]->last->taken() == 0ms);
-  CHECK(clients[3]->last->reply->comeBack);
+  CHECK(clients[3]->last->elapsed() == 0ms);
+  CHECK(clients[3]->last->reply->retryAfter);
   CHECK(clients[0]->finish(running) == "OK");
   CHECK(clients[1]->finish(first) == "OK");
   CHECK(clients[2]->finish(second) == "OK");
@@ -180,14 +180,14 @@
   SECTION("between its statements, seen at a statement") {
     alice->ask("BEGIN");
     CHECK(alice->ask("WRITE a 1") == "OK");
-    trial.backEnds.breakOff("d1");
+    trial.backEnds.closeConnections("d1");
     CHECK(alice->ask("WRITE b 1") == "ABORTED");
     CHECK(alice->ask("ROLLBACK") == "OK");
   }
   SECTION("between its statements, seen at COMMIT") {
     alice->ask("BEGIN");
     CHECK(alice->ask("WRITE a 1") == "OK");
-    trial.backEnds.breakOff("d1");
+    trial.backEnds.closeConnections("d1");
     CHECK(alice->ask("COMMIT") == "ABORTED");
   }
   CHECK(alice->last->reply->state == TransactionState::idle);
@@ -228,9 +228,9 @@
     CHECK(alice->ask("COMMIT") == "UNRESOLVED");
     CHECK(trial.committed(id) == (committed ? 1 : 0));
   }
-  CHECK(alice->last->taken() <= 1010ms);
+  CHECK(alice->last->elapsed() <= 1010ms);
   CHECK(alice->last->reply->state == TransactionState::idle);
-  CHECK_FALSE(alice->last->reply->comeBack);
+  CHECK_FALSE(alice->last->reply->retryAfter);
   trial.run(2s);
   CHECK(alice->ask("READ a") == "OK");
 }
@@ -244,13 +244,13 @@
     alice->ask("BEGIN");
     CHECK(alice->ask("WRITE a 1") == "OK");
   }
-  trial.backEnds.at("d1").work = 100ms;
+  trial.backEnds.at("d1").runTime = 100ms;
   auto asked = alice->start(transaction ? "COMMIT" : "WRITE a 1");
   trial.run(50ms);
   if (lease)
     trial.endLease();
   else
-    trial.primary(2, "d2", false);
+    trial.publishPrimary(2, "d2", false);
   CHECK(alice->finish(asked) == "UNRESOLVED");
   CHECK(asked->reply->state == TransactionState::idle);
 }
@@ -258,11 +258,11 @@
 TEST_CASE("pooler ends: a single read unanswered up to the statement's bound is EXPIRED", "[pooler][endings]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
-  trial.backEnds.at("d1").slowness = 5s;
+  trial.backEnds.at("d1").slowDelay = 5s;
   trial.backEnds.script("d1", StatementKind::read, ScriptedOutcome::slow);
   CHECK(alice->ask("READ a") == "EXPIRED");
-  CHECK(alice->last->taken() >= 990ms);
-  CHECK(alice->last->taken() <= 1010ms);
+  CHECK(alice->last->elapsed() >= 990ms);
+  CHECK(alice->last->elapsed() <= 1010ms);
 }
 
 TEST_CASE("pooler ends: the database's own errors of writes are passed on", "[pooler][endings]") {
@@ -297,7 +297,7 @@
   for (int times = 0; times < 20; ++times) trial.backEnds.script("d1", StatementKind::read, ScriptedOutcome::failed);
   auto outcome = bob->ask("READ b");
   CHECK((outcome == "FAILED" || outcome == "CONGESTED"));
-  CHECK(bob->last->taken() <= 560ms);
+  CHECK(bob->last->elapsed() <= 560ms);
 }
 
 TEST_CASE("pooler ends: a statement that is not possible in this state is MALFORMED", "[pooler][endings]") {
--- a/tests/pooler_epochs_test.cpp
+++ b/tests/pooler_epochs_test.cpp
@@ -36,20 +36,20 @@
   auto carol = trial.client("carol");
   carol->ask("BEGIN");
   CHECK(carol->ask("WRITE c 1") == "OK");
-  trial.backEnds.at("d1").work = 900ms;
+  trial.backEnds.at("d1").runTime = 900ms;
   auto write = alice->start("WRITE a 1");
   auto read = bob->start("READ b");
   trial.run(50ms);
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   CHECK(alice->finish(write) == "UNRESOLVED");
-  CHECK(write->taken() <= 60ms);
+  CHECK(write->elapsed() <= 60ms);
   CHECK(trial.runUntil(200ms, [&] {
     return trial.reported(2);
   }));
   CHECK(trial.backEnds.at("d1").connections == 0);
   CHECK(carol->ask("COMMIT") == "ABORTED");
-  trial.leads("d2");
-  trial.primary(2, "d2", true);
+  trial.makePrimary("d2");
+  trial.publishPrimary(2, "d2", true);
   CHECK(bob->finish(read) == "OK");
   CHECK(trial.runsOf("READ b").back().database == "d2");
 }
@@ -59,10 +59,10 @@
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  for (const char* name : {"d2", "d3"}) trial.backEnds.at(name).work = 300ms;
+  for (const char* name : {"d2", "d3"}) trial.backEnds.at(name).runTime = 300ms;
   auto read = bob->start("READ b");
   trial.run(50ms);
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   CHECK(bob->finish(read) == "OK");
   CHECK(trial.runsOf("READ b").size() == 1);
 }
@@ -70,10 +70,10 @@
 TEST_CASE("pooler epochs: a planned change lets running work end and is reported only then", "[pooler][epochs]") {
   EpochTrial trial;
   auto alice = trial.client("alice");
-  trial.backEnds.at("d1").work = 300ms;
+  trial.backEnds.at("d1").runTime = 300ms;
   auto asked = alice->start("WRITE a 1");
   trial.run(50ms);
-  trial.primary(2, "d2", false, true);
+  trial.publishPrimary(2, "d2", false, true);
   trial.runUntil(1s, [&] {
     CHECK((asked->reply || !trial.everReported(2)));
     return asked->reply.has_value();
@@ -87,7 +87,7 @@
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  trial.primary(2, "d2", false, true);
+  trial.publishPrimary(2, "d2", false, true);
   trial.run(200ms);
   CHECK_FALSE(trial.everReported(2));
   CHECK(alice->ask("WRITE a 2") == "OK");
@@ -104,13 +104,13 @@
   auto bob = trial.client("bob");
   bob->ask("BEGIN");
   CHECK(bob->ask("WRITE b 1") == "OK");
-  trial.backEnds.at("d1").work = 900ms;
+  trial.backEnds.at("d1").runTime = 900ms;
   auto asked = alice->start("WRITE a 1");
   trial.run(50ms);
-  trial.primary(2, "d2", false, true);
+  trial.publishPrimary(2, "d2", false, true);
   CHECK(alice->finish(asked) == "UNRESOLVED");
-  CHECK(asked->taken() >= 440ms);
-  CHECK(asked->taken() <= 560ms);
+  CHECK(asked->elapsed() >= 440ms);
+  CHECK(asked->elapsed() <= 560ms);
   CHECK(trial.runUntil(200ms, [&] {
     return trial.reported(2);
   }));
@@ -123,9 +123,9 @@
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  trial.primary(2, "d2", false, true);
+  trial.publishPrimary(2, "d2", false, true);
   trial.run(50ms);
-  trial.knows("d3", "z2");
+  trial.publishDatabase("d3", "z2");
   trial.run(355ms);
   auto text = GENERATE(as<std::string>{}, "WRITE a 2", "COMMIT");
   CHECK(alice->ask(text) == "ABORTED");
@@ -136,17 +136,17 @@
 TEST_CASE("pooler epochs: a read that runs at the primary for want of a sample is cut and answered elsewhere", "[pooler][epochs]") {
   EpochTrial trial;
   auto bob = trial.client("bob", "bounded");
-  trial.backEnds.at("d1").work = 900ms;
+  trial.backEnds.at("d1").runTime = 900ms;
   auto asked = bob->start("READ b");
   trial.run(50ms);
   REQUIRE(trial.runsOf("READ b").back().database == "d1");
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   trial.run(20ms);
   CHECK(trial.backEnds.at("d1").connections == 0);
-  trial.leads("d2");
-  trial.primary(2, "d2", true);
+  trial.makePrimary("d2");
+  trial.publishPrimary(2, "d2", true);
   CHECK(bob->finish(asked) == "OK");
-  CHECK(asked->taken() < 200ms);
+  CHECK(asked->elapsed() < 200ms);
   CHECK(trial.runsOf("READ b").back().database == "d2");
 }
 
@@ -155,7 +155,7 @@
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "OK");
   CHECK(trial.backEnds.at("d1").connections == 1);
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   trial.run(10ms);
   CHECK(trial.backEnds.at("d1").connections == 0);
 }
@@ -166,7 +166,7 @@
   auto bob = trial.client("bob");
   alice->ask("BEGIN");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  trial.primary(2, "d2", false, true);
+  trial.publishPrimary(2, "d2", false, true);
   trial.run(10ms);
   auto asked = bob->start("WRITE b 1");
   auto carol = trial.client("carol");
@@ -176,8 +176,8 @@
   CHECK(trial.runsOf("WRITE b 1").empty());
   CHECK(trial.runsOf("READ c").empty());
   CHECK(alice->ask("COMMIT") == "OK");
-  trial.leads("d2");
-  trial.primary(2, "d2", true, true);
+  trial.makePrimary("d2");
+  trial.publishPrimary(2, "d2", true, true);
   CHECK(bob->finish(asked) == "OK");
   CHECK(carol->finish(begun) == "OK");
   CHECK(trial.runsOf("WRITE b 1").front().database == "d2");
@@ -186,14 +186,14 @@
 TEST_CASE("pooler epochs: an unplanned change after a planned one cuts what was still allowed to end", "[pooler][epochs]") {
   EpochTrial trial;
   auto alice = trial.client("alice");
-  trial.backEnds.at("d1").work = 900ms;
+  trial.backEnds.at("d1").runTime = 900ms;
   auto asked = alice->start("WRITE a 1");
   trial.run(50ms);
-  trial.primary(2, "d2", false, true);
+  trial.publishPrimary(2, "d2", false, true);
   trial.run(50ms);
-  trial.primary(3, "d3", false);
+  trial.publishPrimary(3, "d3", false);
   CHECK(alice->finish(asked) == "UNRESOLVED");
-  CHECK(asked->taken() <= 120ms);
+  CHECK(asked->elapsed() <= 120ms);
   CHECK(trial.runUntil(200ms, [&] {
     return trial.reported(3);
   }));
--- a/tests/pooler_holds_test.cpp
+++ b/tests/pooler_holds_test.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-PoolerTrial::Choice oneConnection() {
-  PoolerTrial::Choice choice;
-  choice.share = 1;
-  return choice;
+PoolerTrial::Options oneConnection() {
+  PoolerTrial::Options options;
+  options.share = 1;
+  return options;
 }
 
 }  // namespace
@@ -26,15 +26,15 @@
   CHECK(alice->ask("READ a") == "OK");
   for (const char* text : {"READ b", "WRITE b 1"}) {
     CHECK(bob->ask(text) == "CONGESTED");
-    CHECK(bob->last->reply->comeBack);
-    CHECK(bob->last->taken() >= bound * 44 / 100);
-    CHECK(bob->last->taken() <= bound * 46 / 100);
+    CHECK(bob->last->reply->retryAfter);
+    CHECK(bob->last->elapsed() >= bound * 44 / 100);
+    CHECK(bob->last->elapsed() <= bound * 46 / 100);
     CHECK(trial.runsOf(text).empty());
   }
   bob->ask("BEGIN");
   CHECK(bob->ask("WRITE b 2") == "CONGESTED");
-  CHECK(bob->last->reply->comeBack);
-  CHECK(bob->last->taken() <= bound * 46 / 100);
+  CHECK(bob->last->reply->retryAfter);
+  CHECK(bob->last->elapsed() <= bound * 46 / 100);
   CHECK(bob->last->reply->state == TransactionState::failed);
   CHECK(bob->ask("ROLLBACK") == "OK");
   CHECK(alice->ask("COMMIT") == "OK");
@@ -43,17 +43,17 @@
 
 TEST_CASE("pooler holds: precedence decides who gets the next connection, then arrival", "[pooler][holds]") {
   PoolerTrial trial(oneConnection());
-  trial.route("low", Consistency::primary, 2);
-  trial.route("high", Consistency::primary, 0);
+  trial.addRoute("low", Consistency::primary, 2);
+  trial.addRoute("high", Consistency::primary, 0);
   trial.publishFleet();
   trial.publishService();
   trial.run(20ms);
-  trial.backEnds.at("d1").work = 40ms;
+  trial.backEnds.at("d1").runTime = 40ms;
   auto holder = trial.client("holder");
   auto held = holder->start("READ held");
   trial.run(5ms);
   std::vector<std::unique_ptr<TrialClient>> clients;
-  std::vector<std::shared_ptr<Asked>> asked;
+  std::vector<std::shared_ptr<ClientStatement>> asked;
   for (const char* each : {"low1", "strict1", "high1", "low2", "high2", "strict2"}) {
     std::string name{each};
     clients.push_back(trial.client(name, name.substr(0, name.size() - 1)));
@@ -71,13 +71,13 @@
   PoolerTrial trial(oneConnection());
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
-  trial.backEnds.at("d1").work = 100ms;
+  trial.backEnds.at("d1").runTime = 100ms;
   auto first = alice->start("WRITE a 1");
   trial.run(10ms);
   auto second = bob->start("WRITE b 1");
   CHECK(alice->finish(first) == "OK");
   CHECK(bob->finish(second) == "OK");
-  CHECK(second->taken() <= 200ms);
+  CHECK(second->elapsed() <= 200ms);
 }
 
 TEST_CASE("pooler holds: a waiting statement is not offered again after its answer", "[pooler][holds]") {
@@ -98,8 +98,8 @@
   auto alice = trial.client("alice");
   for (int times = 0; times < 100; ++times) trial.backEnds.script("d1", StatementKind::read, ScriptedOutcome::busy);
   CHECK(alice->ask("READ a") == "CONGESTED");
-  CHECK(alice->last->reply->comeBack);
-  CHECK(alice->last->taken() <= 550ms);
+  CHECK(alice->last->reply->retryAfter);
+  CHECK(alice->last->elapsed() <= 550ms);
 }
 
 TEST_CASE("pooler holds: a connection that hangs at open costs no more than the hold", "[pooler][holds]") {
@@ -107,7 +107,7 @@
   trial.backEnds.at("d1").opening = ScriptedOpening::hangs;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "CONGESTED");
-  CHECK(alice->last->taken() <= 460ms);
+  CHECK(alice->last->elapsed() <= 460ms);
 }
 
 TEST_CASE("pooler holds: connections are not opened again and again where none is to be had", "[pooler][holds]") {
@@ -117,7 +117,7 @@
   std::vector<std::unique_ptr<TrialClient>> clients;
   for (int number = 0; number < 20; ++number) clients.push_back(trial.client("c" + std::to_string(number)));
   auto until = trial.world.now() + 10s;
-  std::vector<std::shared_ptr<Asked>> asked(clients.size());
+  std::vector<std::shared_ptr<ClientStatement>> asked(clients.size());
   while (trial.world.now() < until) {
     for (std::size_t index = 0; index < clients.size(); ++index)
       if (!asked[index] || asked[index]->reply) asked[index] = clients[index]->start("READ a");
--- a/tests/pooler_partial_news_test.cpp
+++ b/tests/pooler_partial_news_test.cpp
@@ -5,10 +5,10 @@
 using namespace tamarindshift;
 
 TEST_CASE("pooler routes: a node that knows the fleet and not each service refuses as CONGESTED", "[pooler][routes]") {
-  PoolerTrial::Choice choice;
-  choice.published = false;
-  PoolerTrial trial(choice);
-  trial.route("strict", Consistency::primary);
+  PoolerTrial::Options options;
+  options.published = false;
+  PoolerTrial trial(options);
+  trial.addRoute("strict", Consistency::primary);
   trial.kinds[KindName{"other"}] = trial.kinds.at(KindName{"strict"});
   trial.kinds[KindName{"other"}].service = ServiceName{"s2"};
   trial.kinds[KindName{"other"}].host = "other";
@@ -17,7 +17,7 @@
   CHECK(trial.client("alice")->refusal.fault == StatementFault::busy);
   CHECK(trial.client("bob", "other")->refusal.fault == StatementFault::busy);
   CHECK(trial.client("carol", "nowhere")->refusal.fault == StatementFault::busy);
-  CHECK(trial.pooler->notReady());
+  CHECK(trial.pooler->notReadyReason());
   trial.publishService("s1");
   trial.run(150ms);
   CHECK(trial.client("bob2", "other")->refusal.fault == StatementFault::busy);
@@ -30,10 +30,10 @@
 }
 
 TEST_CASE("pooler routes: while a service's news are not there yet no host is refused for good", "[pooler][mended]") {
-  PoolerTrial::Choice choice;
-  choice.published = false;
-  PoolerTrial trial(choice);
-  trial.route("strict", Consistency::primary);
+  PoolerTrial::Options options;
+  options.published = false;
+  PoolerTrial trial(options);
+  trial.addRoute("strict", Consistency::primary);
   trial.publishFleet();
   trial.run(200ms);
   CHECK(trial.client("alice")->refusal.fault == StatementFault::busy);
@@ -43,18 +43,18 @@
 }
 
 TEST_CASE("pooler routes: under a plan without any service a node is ready and knows no host", "[pooler][routes][mended]") {
-  PoolerTrial::Choice choice;
-  choice.published = false;
-  PoolerTrial trial(choice);
+  PoolerTrial::Options options;
+  options.published = false;
+  PoolerTrial trial(options);
   trial.run(200ms);
-  CHECK(trial.pooler->notReady());
+  CHECK(trial.pooler->notReadyReason());
   trial.publishFleet();
   trial.run(200ms);
-  CHECK(trial.pooler->notReady().value_or("") == "");
+  CHECK(trial.pooler->notReadyReason().value_or("") == "");
   auto alice = trial.client("alice", "anyhost");
   CHECK_FALSE(alice->session);
   CHECK(alice->refusal.fault == StatementFault::noDatabase);
   trial.run(10s);
   CHECK_FALSE(trial.pooler->cutOff());
-  CHECK_FALSE(trial.pooler->notReady());
+  CHECK_FALSE(trial.pooler->notReadyReason());
 }
--- a/tests/pooler_rations_test.cpp
+++ b/tests/pooler_rations_test.cpp
@@ -8,19 +8,19 @@
 
 struct RationsTrial : PoolerTrial {
   RationsTrial() {
-    route("counter", Consistency::primary, 0);
-    route("directory", Consistency::primary, 2);
-    route("listing", Consistency::lookups, 2);
+    addRoute("counter", Consistency::primary, 0);
+    addRoute("directory", Consistency::primary, 2);
+    addRoute("listing", Consistency::lookups, 2);
     publishFleet();
     publishService();
     run(20ms);
   }
   void ration(std::uint32_t freeThrough, std::uint32_t later, const std::string& database = "d1") {
-    news.put("s1", "ration/" + database, Ration{freeThrough, {{settings.node, later}}});
+    updates.put("s1", "ration/" + database, Ration{freeThrough, {{settings.node, later}}});
     run(1ms);
   }
   void free(const std::string& database = "d1") {
-    news.remove("s1", "ration/" + database);
+    updates.remove("s1", "ration/" + database);
     run(1ms);
   }
 };
@@ -36,19 +36,19 @@
   CHECK(counter->ask("WRITE a 1") == "OK");
   CHECK_FALSE(waiting->reply);
   CHECK(directory->finish(waiting) == "CONGESTED");
-  CHECK(waiting->reply->comeBack);
+  CHECK(waiting->reply->retryAfter);
   CHECK(waiting->reply->reason == "work of earlier orders goes first at a crowded database");
-  CHECK(trial.counted("statements.rationed") == 1);
+  CHECK(trial.counterValue("statements.rationed") == 1);
   CHECK(trial.runsOf("WRITE b 1").empty());
   CHECK(trial.violations.empty());
 }
 
 TEST_CASE("pooler rations: later work has the node's connections and no more, and all of them when the ration ends", "[pooler][rations]") {
   RationsTrial trial;
-  trial.backEnds.at("d1").work = 50ms;
+  trial.backEnds.at("d1").runTime = 50ms;
   trial.ration(0, 1);
   std::vector<std::unique_ptr<TrialClient>> clients;
-  std::vector<std::shared_ptr<Asked>> asked;
+  std::vector<std::shared_ptr<ClientStatement>> asked;
   for (int number = 0; number < 3; ++number) {
     clients.push_back(trial.client("c" + std::to_string(number), "directory"));
     asked.push_back(clients.back()->start("WRITE b " + std::to_string(number)));
@@ -99,7 +99,7 @@
 
 TEST_CASE("pooler rations: a node that the ration does not name holds later work until one names it", "[pooler][rations]") {
   RationsTrial trial;
-  trial.news.put("s1", "ration/d1", Ration{0, {{Address{"10.1.0.9:1"}, 5}}});
+  trial.updates.put("s1", "ration/d1", Ration{0, {{Address{"10.1.0.9:1"}, 5}}});
   auto directory = trial.client("directory", "directory");
   auto waits = directory->start("WRITE b 1");
   trial.run(100ms);
@@ -113,10 +113,10 @@
   RationsTrial trial;
   trial.run(700ms);
   CHECK(trial.serviceReport().demands.empty());
-  trial.backEnds.at("d1").work = 900ms;
-  trial.share(4);
+  trial.backEnds.at("d1").runTime = 900ms;
+  trial.publishShare(4);
   std::vector<std::unique_ptr<TrialClient>> clients;
-  std::vector<std::shared_ptr<Asked>> asked;
+  std::vector<std::shared_ptr<ClientStatement>> asked;
   for (int number = 0; number < 7; ++number) {
     clients.push_back(trial.client("c" + std::to_string(number), number < 2 ? "counter" : "directory"));
     asked.push_back(clients.back()->start("WRITE b 1"));
--- a/tests/pooler_reads_test.cpp
+++ b/tests/pooler_reads_test.cpp
@@ -27,7 +27,7 @@
   auto runs = trial.runsOf("READ a");
   REQUIRE(runs.size() == 1);
   CHECK(runs.front().database == "d1");
-  CHECK_FALSE(runs.front().after);
+  CHECK_FALSE(runs.front().minPosition);
 }
 
 TEST_CASE("pooler reads: on a primary route they always go to the primary without AFTER", "[pooler][reads]") {
@@ -35,7 +35,7 @@
   auto alice = trial.client("alice");
   for (int times = 0; times < 10; ++times) CHECK(alice->ask("READ a") == "OK");
   CHECK(databasesOf(trial.runsOf("READ a")) == std::set<std::string>{"d1"});
-  for (const auto& run : trial.runsOf("READ a")) CHECK_FALSE(run.after);
+  for (const auto& run : trial.runsOf("READ a")) CHECK_FALSE(run.minPosition);
 }
 
 TEST_CASE("pooler reads: AFTER carries the oldest position within the bound", "[pooler][reads]") {
@@ -54,7 +54,7 @@
   auto afterAt = [&](Duration since, const std::string& text) {
     until(since);
     CHECK(bob->ask(text) == "OK");
-    return trial.runsOf(text).back().after;
+    return trial.runsOf(text).back().minPosition;
   };
   CHECK(afterAt(1400ms, "READ r1") == at(101));
   CHECK(afterAt(1700ms, "READ r2") == at(102));
@@ -71,7 +71,7 @@
   for (int times = 0; times < 6; ++times) CHECK(bob->ask("READ a") == "OK");
   auto names = databasesOf(trial.runsOf("READ a"));
   CHECK_FALSE(names.contains("d1"));
-  for (const auto& run : trial.runsOf("READ a")) CHECK(run.after);
+  for (const auto& run : trial.runsOf("READ a")) CHECK(run.minPosition);
 }
 
 TEST_CASE("pooler reads: own commits raise AFTER on their route, those of others do not", "[pooler][reads]") {
@@ -83,59 +83,59 @@
   for (const char* name : {"d2", "d3"}) trial.backEnds.at(name).lag = 800ms;
   CHECK(alice->ask("WRITE a 1") == "OK");
   CHECK(alice->ask("READ a") == "OK");
-  CHECK(trial.runsOf("READ a").front().after == at(102));
-  CHECK(trial.runsOf("READ a").back().place >= at(102));
+  CHECK(trial.runsOf("READ a").front().minPosition == at(102));
+  CHECK(trial.runsOf("READ a").back().logPosition >= at(102));
   CHECK(bob->ask("READ b") == "OK");
-  CHECK(trial.runsOf("READ b").front().after == at(101));
+  CHECK(trial.runsOf("READ b").front().minPosition == at(101));
   alice->ask("BEGIN");
   CHECK(alice->ask("WRITE a 2") == "OK");
   CHECK(alice->ask("COMMIT") == "OK");
   CHECK(alice->ask("READ c") == "OK");
-  CHECK(trial.runsOf("READ c").front().after == at(103));
+  CHECK(trial.runsOf("READ c").front().minPosition == at(103));
 }
 
 TEST_CASE("pooler reads: a replica that lags is left for another", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
-  for (const char* name : {"d2", "d3"}) trial.backEnds.at(name).follows = false;
-  trial.backEnds.at("d3").place = at(200);
+  for (const char* name : {"d2", "d3"}) trial.backEnds.at(name).replicates = false;
+  trial.backEnds.at("d3").logPosition = at(200);
   CHECK(alice->ask("WRITE a 1") == "OK");
-  trial.backEnds.at("d2").place = at(90);
+  trial.backEnds.at("d2").logPosition = at(90);
   for (int times = 0; times < 10; ++times) {
     CHECK(bob->ask("READ a") == "OK");
-    CHECK(bob->last->taken() < 60ms);
+    CHECK(bob->last->elapsed() < 60ms);
   }
   auto runs = trial.runsOf("READ a");
   auto refused = std::count_if(runs.begin(), runs.end(), [](const auto& run) {
     return !run.ran;
   });
   CHECK(refused <= 2);
-  for (const auto& run : runs) CHECK((run.ran == (run.place >= *run.after)));
+  for (const auto& run : runs) CHECK((run.ran == (run.logPosition >= *run.minPosition)));
 }
 
 TEST_CASE("pooler reads: where all replicas lag the primary is read", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
-  for (const char* name : {"d2", "d3"}) trial.backEnds.at(name).follows = false;
+  for (const char* name : {"d2", "d3"}) trial.backEnds.at(name).replicates = false;
   CHECK(alice->ask("WRITE a 1") == "OK");
   CHECK(bob->ask("READ a") == "OK");
   CHECK(trial.runsOf("READ a").back().database == "d1");
-  CHECK(bob->last->taken() < 100ms);
+  CHECK(bob->last->elapsed() < 100ms);
 }
 
 TEST_CASE("pooler reads: after a promotion that cut positions back the new primary serves", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
-  for (const char* name : {"d2", "d3"}) trial.backEnds.at(name).follows = false;
+  for (const char* name : {"d2", "d3"}) trial.backEnds.at(name).replicates = false;
   CHECK(alice->ask("WRITE a 1") == "OK");
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   trial.run(100ms);
-  trial.backEnds.at("d1").place = at(100);
-  trial.leads("d2");
-  trial.primary(2, "d2", true);
+  trial.backEnds.at("d1").logPosition = at(100);
+  trial.makePrimary("d2");
+  trial.publishPrimary(2, "d2", true);
   trial.run(100ms);
   CHECK(bob->ask("READ a") == "OK");
   CHECK(trial.runsOf("READ a").back().database == "d2");
@@ -145,20 +145,20 @@
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
-  trial.backEnds.at("d1").work = 100ms;
+  trial.backEnds.at("d1").runTime = 100ms;
   auto asked = alice->start("READ a");
   trial.run(50ms);
-  trial.primary(2, "d2", false, true);
+  trial.publishPrimary(2, "d2", false, true);
   trial.run(10ms);
-  trial.leads("d2");
-  trial.primary(2, "d2", true, true);
+  trial.makePrimary("d2");
+  trial.publishPrimary(2, "d2", true, true);
   alice->finish(asked);
   trial.run(1400ms);
   auto read = bob->start("READ b");
   bob->finish(read);
   CHECK(read->outcome() == "OK");
   auto run = trial.runsOf("READ b").front();
-  if (run.after) CHECK(run.after->epoch == Epoch{3});
+  if (run.minPosition) CHECK(run.minPosition->epoch == Epoch{3});
 }
 
 TEST_CASE("pooler reads: a silent replica is suspected, its reads are answered elsewhere, and it comes back by a trial",
@@ -166,18 +166,18 @@
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
-  trial.knows("d3", "z2");
+  trial.publishDatabase("d3", "z2");
   CHECK(alice->ask("WRITE a 1") == "OK");
   CHECK(bob->ask("READ warm") == "OK");
   REQUIRE(trial.runsOf("READ warm").back().database == "d2");
-  trial.backEnds.at("d2").dark = true;
+  trial.backEnds.at("d2").unresponsive = true;
   auto carol = trial.client("carol", "bounded");
   auto first = bob->start("READ a");
   auto second = carol->start("READ b");
   CHECK(bob->finish(first) == "OK");
   CHECK(carol->finish(second) == "OK");
-  CHECK(first->taken() >= 200ms);
-  CHECK(first->taken() <= 600ms);
+  CHECK(first->elapsed() >= 200ms);
+  CHECK(first->elapsed() <= 600ms);
   CHECK(trial.runsOf("READ a").front().database == "d2");
   CHECK(trial.runsOf("READ a").back().database != "d2");
   CHECK(trial.runUntil(600ms, [&] {
@@ -187,14 +187,14 @@
   for (int times = 0; times < 20; ++times) {
     CHECK(alice->ask("WRITE a 2") == "OK");
     CHECK(bob->ask("READ c") == "OK");
-    CHECK(bob->last->taken() < 100ms);
+    CHECK(bob->last->elapsed() < 100ms);
     trial.run(100ms);
   }
   CHECK_FALSE(databasesOf(trial.runsOf("READ c")).contains("d2"));
   auto trials = trial.backEnds.at("d2").openings - openings;
   CHECK(trials >= 2);
   CHECK(trials <= 6);
-  trial.backEnds.at("d2").dark = false;
+  trial.backEnds.at("d2").unresponsive = false;
   CHECK(trial.runUntil(2s, [&] {
     return trial.serviceReport().suspects.empty();
   }));
@@ -209,12 +209,12 @@
 }
 
 TEST_CASE("pooler reads: where others are busy none waits for a suspected replica", "[pooler][reads]") {
-  PoolerTrial::Choice choice;
-  choice.share = 2;
-  PoolerTrial trial(choice);
+  PoolerTrial::Options options;
+  options.share = 2;
+  PoolerTrial trial(options);
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  trial.backEnds.at("d2").dark = true;
+  trial.backEnds.at("d2").unresponsive = true;
   std::vector<std::unique_ptr<TrialClient>> crowd;
   for (int number = 0; number < 10; ++number) {
     crowd.push_back(trial.client("crowd" + std::to_string(number), "bounded"));
@@ -230,7 +230,7 @@
     for (const auto& each : crowd) each->start("READ b");
     for (const auto& each : crowd) {
       CHECK(each->finish(each->last) == "OK");
-      CHECK(each->last->taken() < 100ms);
+      CHECK(each->last->elapsed() < 100ms);
     }
   }
   CHECK_FALSE(databasesOf(trial.runsOf("READ b")).contains("d2"));
@@ -244,7 +244,7 @@
   CHECK(alice->ask("WRITE a 1") == "OK");
   for (int times = 0; times < 5; ++times) {
     CHECK(bob->ask("READ a") == "OK");
-    CHECK(bob->last->taken() < 100ms);
+    CHECK(bob->last->elapsed() < 100ms);
   }
   CHECK(trial.runUntil(500ms, [&] {
     return trial.serviceReport().suspects == std::set<DatabaseName>{DatabaseName{"d2"}};
@@ -279,8 +279,8 @@
   auto bob = trial.client("bob", "bounded");
   CHECK(alice->ask("WRITE a 1") == "OK");
   for (int times = 0; times < 4; ++times) bob->ask("READ a");
-  trial.drained("d2");
-  trial.news.remove("s1", "database/d3");
+  trial.publishDrained("d2");
+  trial.updates.remove("s1", "database/d3");
   trial.run(20ms);
   for (int times = 0; times < 6; ++times) CHECK(bob->ask("READ b") == "OK");
   CHECK(databasesOf(trial.runsOf("READ b")) == std::set<std::string>{"d1"});
@@ -291,28 +291,28 @@
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  trial.backEnds.at("d1").dark = true;
+  trial.backEnds.at("d1").unresponsive = true;
   auto asked = alice->start("WRITE a 2");
   CHECK(trial.runUntil(700ms, [&] {
     return trial.serviceReport().suspects.contains(DatabaseName{"d1"});
   }));
   CHECK_FALSE(asked->reply);
   CHECK(alice->finish(asked) == "UNRESOLVED");
-  CHECK(asked->taken() >= 990ms);
+  CHECK(asked->elapsed() >= 990ms);
 }
 
 TEST_CASE("pooler reads: lagging replicas, breaks and changes of primary never give a stale read", "[pooler][reads][seeds]") {
   for (std::uint64_t seed = 200; seed < 212; ++seed) {
-    PoolerTrial::Choice choice;
-    choice.seed = seed;
-    choice.share = 3;
-    PoolerTrial trial(choice);
+    PoolerTrial::Options options;
+    options.seed = seed;
+    options.share = 3;
+    PoolerTrial trial(options);
     INFO("seed " << seed);
     auto& world = trial.world;
     const char* hosts[] = {"strict", "bounded", "house"};
     std::vector<std::unique_ptr<TrialClient>> clients;
     for (int number = 0; number < 6; ++number) clients.push_back(trial.client("c" + std::to_string(number), hosts[number % 3]));
-    std::vector<std::shared_ptr<Asked>> asked(clients.size());
+    std::vector<std::shared_ptr<ClientStatement>> asked(clients.size());
     std::uint64_t epoch = 1;
     std::string leader = "d1";
     int served = 0;
@@ -320,19 +320,20 @@
       trial.run(1ms);
       auto other = "d" + std::to_string(1 + world.below(3));
       if (world.chance(10)) trial.backEnds.at(other).lag = std::chrono::milliseconds{world.chance(200) ? 3000 : world.below(400)};
-      if (world.chance(5) && other != leader) trial.backEnds.at(other).follows = world.chance(500);
-      if (world.chance(3)) trial.backEnds.breakOff(other);
-      if (world.chance(1) && other != leader) trial.backEnds.at(other).dark = world.chance(300);
+      if (world.chance(5) && other != leader) trial.backEnds.at(other).replicates = world.chance(500);
+      if (world.chance(3)) trial.backEnds.closeConnections(other);
+      if (world.chance(1) && other != leader) trial.backEnds.at(other).unresponsive = world.chance(300);
       if (step % 2500 == 1500) {
         leader = other;
-        trial.primary(++epoch, leader, false, world.chance(500));
+        trial.publishPrimary(++epoch, leader, false, world.chance(500));
       }
       if (step % 2500 == 2000) {
         auto& chosen = trial.backEnds.at(leader);
-        for (const auto& [name, database] : trial.backEnds.databases()) chosen.place = std::max(chosen.place, database.place);
-        chosen.dark = false;
-        trial.leads(leader);
-        trial.primary(epoch, leader, true);
+        for (const auto& [name, database] : trial.backEnds.databases())
+          chosen.logPosition = std::max(chosen.logPosition, database.logPosition);
+        chosen.unresponsive = false;
+        trial.makePrimary(leader);
+        trial.publishPrimary(epoch, leader, true);
       }
       for (std::size_t index = 0; index < clients.size(); ++index) {
         if ((asked[index] && !asked[index]->reply) || !world.chance(80)) continue;
--- a/tests/pooler_rejoin_test.cpp
+++ b/tests/pooler_rejoin_test.cpp
@@ -20,11 +20,11 @@
   return sum;
 }
 
-PoolerTrial::Choice ofShare(std::uint32_t most, std::uint64_t seed = 1) {
-  PoolerTrial::Choice choice;
-  choice.share = most;
-  choice.seed = seed;
-  return choice;
+PoolerTrial::Options ofShare(std::uint32_t most, std::uint64_t seed = 1) {
+  PoolerTrial::Options options;
+  options.share = most;
+  options.seed = seed;
+  return options;
 }
 
 }  // namespace
@@ -39,7 +39,7 @@
   CHECK(rests->ask("WRITE a 1") == "OK");
   auto ended = trial.client("ended");
   CHECK(ended->ask("READ a") == "OK");
-  trial.backEnds.at("d1").work = 8s;
+  trial.backEnds.at("d1").runTime = 8s;
   auto works = trial.client("works");
   auto running = works->start("WRITE b 1");
   trial.run(50ms);
@@ -49,7 +49,7 @@
   CHECK(connections(trial) == 0);
   REQUIRE(running->reply);
   CHECK(running->outcome() == "UNRESOLVED");
-  trial.backEnds.at("d1").work = 5ms;
+  trial.backEnds.at("d1").runTime = 5ms;
   trial.renewLease();
   CHECK(rests->ask("COMMIT") == "ABORTED");
   CHECK(rests->ask("READ a") == "OK");
@@ -74,7 +74,7 @@
   CHECK(alice->ask("WRITE a 1") == "OK");
   SECTION("a trial of a suspected one") {
     trial.backEnds.at("d1").opening = ScriptedOpening::refused;
-    trial.backEnds.breakOff("d1");
+    trial.backEnds.closeConnections("d1");
     CHECK(alice->ask("WRITE a 2") == "CONGESTED");
     trial.backEnds.at("d1").opening = ScriptedOpening::accepted;
     trial.endLease();
@@ -84,12 +84,12 @@
     CHECK(openings(trial) == before);
   }
   SECTION("one instead of a lost one") {
-    trial.backEnds.at("d1").work = 200ms;
+    trial.backEnds.at("d1").runTime = 200ms;
     auto running = alice->start("WRITE a 2");
     trial.run(50ms);
     trial.endLease();
     auto before = openings(trial);
-    trial.backEnds.breakOff("d1");
+    trial.backEnds.closeConnections("d1");
     CHECK(alice->finish(running) == "UNRESOLVED");
     trial.run(5s);
     CHECK(openings(trial) == before);
@@ -99,18 +99,18 @@
 
 TEST_CASE("pooler rejoins: a connection that opens after the share has fallen is closed in the same moment", "[pooler][rejoin]") {
   PoolerTrial trial(ofShare(4));
-  trial.backEnds.at("d1").openWork = 60ms;
+  trial.backEnds.at("d1").openTime = 60ms;
   auto alice = trial.client("alice");
   auto asked = alice->start("WRITE a 1");
   trial.run(10ms);
   CHECK(trial.backEnds.at("d1").openings == 1);
-  trial.share(0);
+  trial.publishShare(0);
   for (int step = 0; step < 100; ++step) {
     trial.run(1ms);
     CHECK(trial.backEnds.at("d1").connections == 0);
   }
   CHECK(alice->finish(asked) == "CONGESTED");
-  CHECK(trial.serviceReport().followed == trial.news.mark("s1"));
+  CHECK(trial.serviceReport().followed == trial.updates.mark("s1"));
 }
 
 TEST_CASE("pooler rejoins: after a lapse a session finds its values, names and own writes", "[pooler][rejoin]") {
@@ -119,10 +119,10 @@
   CHECK(alice->ask("SET zone z9") == "OK");
   CHECK(alice->ask("PREPARE p READ q") == "OK");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  auto own = trial.backEnds.at("d1").place;
+  auto own = trial.backEnds.at("d1").logPosition;
   for (const char* replica : {"d2", "d3"}) trial.backEnds.at(replica).lag = 10s;
   CHECK(alice->ask("WRITE a 2") == "OK");
-  own = trial.backEnds.at("d1").place;
+  own = trial.backEnds.at("d1").logPosition;
   trial.endLease();
   trial.run(trial.settings.timings.connectionsKept + 500ms);
   CHECK(connections(trial) == 0);
@@ -133,7 +133,7 @@
     return run.ran;
   });
   REQUIRE(ran != runs.end());
-  CHECK(ran->place >= own);
+  CHECK(ran->logPosition >= own);
   CHECK(ran->values.at("zone") == "z9");
 }
 
@@ -144,7 +144,7 @@
     INFO("seed " << seed);
     auto& world = trial.world;
     std::vector<std::unique_ptr<TrialClient>> clients;
-    std::vector<std::shared_ptr<Asked>> asked;
+    std::vector<std::shared_ptr<ClientStatement>> asked;
     std::vector<int> steps;
     static const char* const routes[] = {"strict", "bounded", "house"};
     for (int number = 0; number < 9; ++number) {
@@ -154,7 +154,7 @@
     }
     for (auto& [name, kind] : trial.kinds) kind.statement = 600ms;
     trial.publishService();
-    trial.backEnds.at("d1").rollbackForgets = trial.backEnds.at("d2").rollbackForgets = seed % 2 == 0;
+    trial.backEnds.at("d1").rollbackRestoresState = trial.backEnds.at("d2").rollbackRestoresState = seed % 2 == 0;
     std::uint64_t epoch = 1;
     std::string primary = "d1";
     constexpr auto never = Instant::max();
@@ -207,8 +207,8 @@
           lapsedAt = world.now();
         }
       }
-      if (world.chance(3)) trial.share(static_cast<std::uint32_t>(world.below(5)));
-      if (world.chance(4)) trial.backEnds.breakOff("d" + std::to_string(1 + world.below(3)));
+      if (world.chance(3)) trial.publishShare(static_cast<std::uint32_t>(world.below(5)));
+      if (world.chance(4)) trial.backEnds.closeConnections("d" + std::to_string(1 + world.below(3)));
       if (world.chance(2))
         trial.backEnds.script(primary, StatementKind::commit,
                               world.chance(500) ? ScriptedOutcome::lostAfterRunning : ScriptedOutcome::busy);
@@ -216,25 +216,25 @@
         trial.backEnds.script(primary, StatementKind::write,
                               world.chance(500) ? ScriptedOutcome::lostBeforeRunning : ScriptedOutcome::slow);
       if (world.chance(2))
-        trial.backEnds.at("d" + std::to_string(1 + world.below(3))).openWork = std::chrono::milliseconds{1 + world.below(100)};
+        trial.backEnds.at("d" + std::to_string(1 + world.below(3))).openTime = std::chrono::milliseconds{1 + world.below(100)};
       if (promotesAt == never && world.chance(2)) {
         next = primary == "d1" ? "d2" : "d1";
-        trial.primary(++epoch, next, false, world.chance(500));
+        trial.publishPrimary(++epoch, next, false, world.chance(500));
         promotesAt = world.now() + std::chrono::milliseconds{600 + world.below(600)};
       }
       if (world.now() >= promotesAt && lapsedAt == never) {
         // as the platform does it: the chosen one has what was acknowledged, and the nodes have reported
-        trial.backEnds.at(next).place = std::max(trial.backEnds.at(next).place, trial.backEnds.at(primary).place);
-        trial.leads(next);
+        trial.backEnds.at(next).logPosition = std::max(trial.backEnds.at(next).logPosition, trial.backEnds.at(primary).logPosition);
+        trial.makePrimary(next);
         primary = next;
-        trial.primary(epoch, primary, true);
+        trial.publishPrimary(epoch, primary, true);
         promotesAt = never;
       }
       trial.run(1ms);
       if (lapsedAt != never && world.now() - lapsedAt > trial.settings.timings.connectionsKept + 200ms) CHECK(connections(trial) == 0);
     }
     trial.renewLease();
-    trial.share(3);
+    trial.publishShare(3);
     for (auto& each : asked)
       if (each)
         trial.runUntil(5s, [&] {
--- a/tests/pooler_reporting_test.cpp
+++ b/tests/pooler_reporting_test.cpp
@@ -22,7 +22,7 @@
 TEST_CASE("pooler reports: a change that comes just after a report is told soon too", "[pooler][mended]") {
   ReportTrial trial;
   trial.runToReport();
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   CHECK(trial.runUntil(60ms, [&] {
     return trial.reported(2);
   }));
@@ -32,10 +32,10 @@
   auto work = GENERATE(range(100, 400, 20));
   ReportTrial trial;
   auto alice = trial.client("alice");
-  trial.backEnds.at("d1").work = std::chrono::milliseconds{work};
+  trial.backEnds.at("d1").runTime = std::chrono::milliseconds{work};
   auto asked = alice->start("WRITE a 1");
   trial.run(50ms);
-  trial.primary(2, "d2", false, true);
+  trial.publishPrimary(2, "d2", false, true);
   CHECK(alice->finish(asked) == "OK");
   INFO("work of " << work << " ms");
   CHECK(trial.runUntil(60ms, [&] {
@@ -46,11 +46,11 @@
 TEST_CASE("pooler reports: an unplanned change is told as soon as what ran is cut", "[pooler][mended]") {
   ReportTrial trial;
   auto alice = trial.client("alice");
-  trial.backEnds.at("d1").work = 900ms;
+  trial.backEnds.at("d1").runTime = 900ms;
   trial.runToReport();
   auto asked = alice->start("WRITE a 1");
   trial.run(100ms);
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   CHECK(alice->finish(asked) == "UNRESOLVED");
   CHECK(trial.runUntil(60ms, [&] {
     return trial.reported(2);
--- a/tests/pooler_routes_test.cpp
+++ b/tests/pooler_routes_test.cpp
@@ -12,9 +12,9 @@
     kinds[KindName{"other"}] = kinds.at(KindName{"strict"});
     kinds[KindName{"other"}].service = ServiceName{"s2"};
     kinds[KindName{"other"}].host = "other";
-    primary(1, "d4", true, false, "s2");
-    share(2, "s2");
-    knows("d4", "z1", "s2");
+    publishPrimary(1, "d4", true, false, "s2");
+    publishShare(2, "s2");
+    publishDatabase("d4", "z1", "s2");
     publish();
   }
   void publish() {
@@ -52,9 +52,9 @@
   trial.remove("strict");
   for (const char* text : {"WRITE a 2", "READ a", "BEGIN"}) {
     CHECK(alice->ask(text) == "NODATABASE");
-    CHECK(alice->last->taken() == 0ms);
+    CHECK(alice->last->elapsed() == 0ms);
     CHECK(alice->last->reply->state == TransactionState::idle);
-    CHECK_FALSE(alice->last->reply->comeBack);
+    CHECK_FALSE(alice->last->reply->retryAfter);
   }
   CHECK(trial.client("bob")->refusal.fault == StatementFault::noDatabase);
   CHECK(trial.runsOf("WRITE a 2").empty());
@@ -64,14 +64,14 @@
   RoutesTrial trial;
   auto alice = trial.client("alice");
   trial.remove("strict");
-  trial.news.endLease(fleetTopic);
+  trial.updates.endLease(fleetTopic);
   CHECK(alice->ask("WRITE a 2") == "CONGESTED");
   CHECK(trial.client("bob")->refusal.fault == StatementFault::busy);
 }
 
 TEST_CASE("pooler routes: one that is removed while a statement waits refuses it", "[pooler][routes]") {
   RoutesTrial trial;
-  trial.share(1);
+  trial.publishShare(1);
   trial.run(20ms);
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
@@ -81,7 +81,7 @@
   trial.run(50ms);
   trial.remove("strict");
   CHECK(bob->finish(asked) == "NODATABASE");
-  CHECK(asked->taken() <= 100ms);
+  CHECK(asked->elapsed() <= 100ms);
 }
 
 TEST_CASE("pooler routes: an open transaction of a removed one goes on to its end", "[pooler][routes]") {
@@ -127,7 +127,7 @@
 
 TEST_CASE("pooler routes: a statement that waits while its route changes runs at the new service", "[pooler][routes]") {
   RoutesTrial trial;
-  trial.share(1);
+  trial.publishShare(1);
   trial.run(20ms);
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
@@ -143,12 +143,12 @@
 TEST_CASE("pooler routes: a changed bound holds from the next statement", "[pooler][routes]") {
   RoutesTrial trial;
   auto alice = trial.client("alice");
-  trial.backEnds.at("d1").slowness = 10s;
+  trial.backEnds.at("d1").slowDelay = 10s;
   trial.kinds[KindName{"strict"}].statement = 300ms;
   trial.publish();
   trial.backEnds.script("d1", StatementKind::read, ScriptedOutcome::slow);
   CHECK(alice->ask("READ a") == "EXPIRED");
-  CHECK(alice->last->taken() <= 310ms);
+  CHECK(alice->last->elapsed() <= 310ms);
 }
 
 TEST_CASE("pooler routes: a service that is gone closes its connections", "[pooler][routes]") {
--- a/tests/pooler_sends_test.cpp
+++ b/tests/pooler_sends_test.cpp
@@ -17,7 +17,7 @@
   if (lease)
     trial.endLease();
   else
-    trial.primary(2, "d2", false);
+    trial.publishPrimary(2, "d2", false);
   CHECK(alice->finish(asked) == "ABORTED");
   CHECK(trial.runsOf("EXECUTE p a 2").empty());
   CHECK(alice->ask("ROLLBACK") == "OK");
@@ -38,7 +38,7 @@
   if (lease)
     trial.endLease();
   else
-    trial.primary(2, "d2", false);
+    trial.publishPrimary(2, "d2", false);
   CHECK(alice->finish(asked) == "ABORTED");
   CHECK(alice->last->reply->state == TransactionState::idle);
   CHECK(trial.runsOf("COMMIT").size() == 4);
@@ -52,7 +52,7 @@
   for (int times = 0; times < 200; ++times) trial.backEnds.script("d1", StatementKind::write, ScriptedOutcome::busy);
   CHECK(alice->ask("WRITE a 2") == "CONGESTED");
   CHECK(alice->last->reply->state == TransactionState::failed);
-  CHECK(alice->last->reply->comeBack);
+  CHECK(alice->last->reply->retryAfter);
   CHECK(alice->ask("COMMIT") == "ABORTED");
   trial.run(100ms);
   CHECK(trial.backEnds.at("d1").committed.empty());
@@ -65,17 +65,17 @@
   CHECK(alice->ask("WRITE a 1") == "OK");
   for (int times = 0; times < 200; ++times) trial.backEnds.script("d1", StatementKind::commit, ScriptedOutcome::busy);
   CHECK(alice->ask("COMMIT") == "CONGESTED");
-  CHECK(alice->last->reply->comeBack);
+  CHECK(alice->last->reply->retryAfter);
   CHECK(alice->last->reply->state == TransactionState::idle);
   trial.run(100ms);
   CHECK(trial.backEnds.at("d1").committed.empty());
 }
 
 TEST_CASE("pooler sends: names laid inside a transaction that was rolled back are laid anew", "[pooler][sends]") {
-  PoolerTrial::Choice choice;
-  choice.share = 1;
-  PoolerTrial trial(choice);
-  trial.backEnds.at("d1").rollbackForgets = GENERATE(true, false);
+  PoolerTrial::Options options;
+  options.share = 1;
+  PoolerTrial trial(options);
+  trial.backEnds.at("d1").rollbackRestoresState = GENERATE(true, false);
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
   auto how = GENERATE(as<std::string>{}, "ROLLBACK", "leaves", "fails");
--- a/tests/pooler_sessions_test.cpp
+++ b/tests/pooler_sessions_test.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-PoolerTrial::Choice oneConnection() {
-  PoolerTrial::Choice choice;
-  choice.share = 1;
-  return choice;
+PoolerTrial::Options oneConnection() {
+  PoolerTrial::Options options;
+  options.share = 1;
+  return options;
 }
 
 std::size_t own(const PoolerTrial& trial, StatementKind kind) {
@@ -224,15 +224,15 @@
 
 TEST_CASE("pooler: clients that set, prepare and use transactions at random keep what is theirs", "[pooler][sessions][seeds]") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    PoolerTrial::Choice choice;
-    choice.seed = seed;
-    choice.share = 1 + static_cast<std::uint32_t>(seed % 3);
-    PoolerTrial trial(choice);
+    PoolerTrial::Options options;
+    options.seed = seed;
+    options.share = 1 + static_cast<std::uint32_t>(seed % 3);
+    PoolerTrial trial(options);
     INFO("seed " << seed);
     auto& world = trial.world;
     const char* hosts[] = {"strict", "bounded", "house"};
     std::vector<std::unique_ptr<TrialClient>> clients;
-    std::vector<std::shared_ptr<Asked>> asked;
+    std::vector<std::shared_ptr<ClientStatement>> asked;
     for (int number = 0; number < 6; ++number) {
       clients.push_back(trial.client("c" + std::to_string(number), hosts[number % 3]));
       asked.push_back(nullptr);
@@ -240,7 +240,7 @@
     int done = 0;
     for (int step = 0; step < 4000; ++step) {
       trial.run(1ms);
-      if (world.chance(5)) trial.backEnds.breakOff("d" + std::to_string(1 + world.below(3)));
+      if (world.chance(5)) trial.backEnds.closeConnections("d" + std::to_string(1 + world.below(3)));
       if (world.chance(10)) {
         ScriptedOutcome outcomes[] = {ScriptedOutcome::busy, ScriptedOutcome::lostAfterRunning, ScriptedOutcome::lostBeforeRunning,
                                       ScriptedOutcome::failed, ScriptedOutcome::unsent};
--- a/tests/pooler_shares_test.cpp
+++ b/tests/pooler_shares_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 struct SharesTrial : PoolerTrial {
-  explicit SharesTrial(Choice choice) : PoolerTrial(choice) {}
+  explicit SharesTrial(Options options) : PoolerTrial(options) {}
   void crowd(std::size_t count) {
     for (std::size_t number = 0; number < count; ++number) {
       crowded.push_back(client("c" + std::to_string(number)));
@@ -25,23 +25,23 @@
     }
   }
   std::vector<std::unique_ptr<TrialClient>> crowded;
-  std::vector<std::shared_ptr<Asked>> asked;
+  std::vector<std::shared_ptr<ClientStatement>> asked;
 };
 
-SharesTrial::Choice shareOf(std::uint32_t most) {
-  SharesTrial::Choice choice;
-  choice.share = most;
-  return choice;
+SharesTrial::Options shareOf(std::uint32_t most) {
+  SharesTrial::Options options;
+  options.share = most;
+  return options;
 }
 
 }  // namespace
 
 TEST_CASE("pooler shares: never more connections to a database than the share", "[pooler][shares]") {
   SharesTrial trial(shareOf(3));
-  trial.backEnds.at("d1").work = 20ms;
+  trial.backEnds.at("d1").runTime = 20ms;
   trial.crowd(12);
   trial.press(1s);
-  CHECK(trial.backEnds.at("d1").mostConnections == 3);
+  CHECK(trial.backEnds.at("d1").peakConnections == 3);
   CHECK(trial.backEnds.at("d1").openings == 3);
 }
 
@@ -58,10 +58,10 @@
   trial.press(100ms);
   trial.run(200ms);
   CHECK(trial.backEnds.at("d1").connections == 4);
-  trial.share(1);
+  trial.publishShare(1);
   trial.run(10ms);
   CHECK(trial.backEnds.at("d1").connections == 1);
-  trial.share(0);
+  trial.publishShare(0);
   trial.run(10ms);
   CHECK(trial.backEnds.at("d1").connections == 0);
 }
@@ -74,8 +74,8 @@
     holders.back()->ask("BEGIN");
     CHECK(holders.back()->ask("WRITE a 1") == "OK");
   }
-  trial.share(1);
-  auto mark = trial.news.mark("s1");
+  trial.publishShare(1);
+  auto mark = trial.updates.mark("s1");
   trial.run(700ms);
   CHECK(trial.serviceReport().followed < mark);
   CHECK(holders[0]->ask("COMMIT") == "OK");
@@ -102,7 +102,7 @@
   }
   auto waiting = trial.client("waiting");
   auto asked = waiting->start("READ b");
-  trial.share(1);
+  trial.publishShare(1);
   trial.run(20ms);
   CHECK(holders[0]->ask("COMMIT") == "OK");
   trial.run(150ms);
@@ -115,13 +115,13 @@
 TEST_CASE("pooler shares: a connection that breaks off after the share has gone is not replaced", "[pooler][shares]") {
   SharesTrial trial(shareOf(2));
   auto alice = trial.client("alice");
-  trial.backEnds.at("d1").work = 200ms;
+  trial.backEnds.at("d1").runTime = 200ms;
   auto asked = alice->start("WRITE a 1");
   trial.run(50ms);
-  trial.share(0);
+  trial.publishShare(0);
   trial.run(20ms);
   auto openings = trial.backEnds.at("d1").openings;
-  trial.backEnds.breakOff("d1");
+  trial.backEnds.closeConnections("d1");
   CHECK(alice->finish(asked) == "UNRESOLVED");
   trial.run(90ms);
   CHECK(trial.backEnds.at("d1").openings == openings);
@@ -129,19 +129,19 @@
 
 TEST_CASE("pooler shares: a larger share is used and followed at once", "[pooler][shares]") {
   SharesTrial trial(shareOf(1));
-  trial.backEnds.at("d1").work = 20ms;
+  trial.backEnds.at("d1").runTime = 20ms;
   trial.crowd(8);
   trial.press(200ms);
-  CHECK(trial.backEnds.at("d1").mostConnections == 1);
-  trial.share(5);
+  CHECK(trial.backEnds.at("d1").peakConnections == 1);
+  trial.publishShare(5);
   trial.press(700ms);
   CHECK(trial.backEnds.at("d1").connections == 5);
-  CHECK(trial.serviceReport().followed == trial.news.mark("s1"));
+  CHECK(trial.serviceReport().followed == trial.updates.mark("s1"));
 }
 
 TEST_CASE("pooler shares: more is wanted when all is in use", "[pooler][shares]") {
   SharesTrial trial(shareOf(2));
-  trial.backEnds.at("d1").work = 50ms;
+  trial.backEnds.at("d1").runTime = 50ms;
   trial.run(600ms);
   auto idle = trial.serviceReport().wanted.at(BranchName{"work"});
   trial.crowd(10);
@@ -156,7 +156,7 @@
   NodeNews other;
   other.zone = Zone{"z1"};
   other.boot = 4;
-  trial.news.put(fleetTopic, "node/10.1.0.1:1", other);
+  trial.updates.put(fleetTopic, "node/10.1.0.1:1", other);
   trial.run(20ms);
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "CONGESTED");
@@ -166,25 +166,25 @@
 TEST_CASE("pooler shares: whatever they become, connections grow only within them and followed tells the truth",
           "[pooler][shares][seeds]") {
   for (std::uint64_t seed = 300; seed < 308; ++seed) {
-    auto choice = shareOf(3);
-    choice.seed = seed;
-    SharesTrial trial(choice);
+    auto options = shareOf(3);
+    options.seed = seed;
+    SharesTrial trial(options);
     INFO("seed " << seed);
     trial.crowd(8);
-    std::map<std::uint64_t, std::uint32_t> shareAt{{trial.news.mark("s1"), 3}};
+    std::map<std::uint64_t, std::uint32_t> shareAt{{trial.updates.mark("s1"), 3}};
     std::uint32_t share = 3;
     std::size_t reports = trial.reports.size();
     std::uint32_t before = 0;
     for (int step = 0; step < 3000; ++step) {
       if (trial.world.chance(10)) {
         share = static_cast<std::uint32_t>(trial.world.below(6));
-        trial.share(share);
-        shareAt[trial.news.mark("s1")] = share;
+        trial.publishShare(share);
+        shareAt[trial.updates.mark("s1")] = share;
         trial.run(1ms);
         before = trial.backEnds.at("d1").connections;
       }
-      if (trial.world.chance(10)) trial.backEnds.at("d1").work = std::chrono::milliseconds{1 + trial.world.below(60)};
-      if (trial.world.chance(5)) trial.backEnds.breakOff("d1");
+      if (trial.world.chance(10)) trial.backEnds.at("d1").runTime = std::chrono::milliseconds{1 + trial.world.below(60)};
+      if (trial.world.chance(5)) trial.backEnds.closeConnections("d1");
       trial.press(1ms);
       auto now = trial.backEnds.at("d1").connections;
       if (now > before) CHECK(now <= share);
--- a/tests/pooler_slow_replica_test.cpp
+++ b/tests/pooler_slow_replica_test.cpp
@@ -21,9 +21,9 @@
       if (trial.backEnds.runs[index].statement.text == "READ a") ++times[trial.backEnds.runs[index].database];
     return times;
   };
-  trial.backEnds.at("d2").work = 150ms;
+  trial.backEnds.at("d2").runTime = 150ms;
   read(5s);
-  trial.backEnds.at("d2").work = 1ms;
+  trial.backEnds.at("d2").runTime = 1ms;
   auto times = read(30s);
   CHECK(times["d2"] > 0);
 }
--- a/tests/pooler_status_test.cpp
+++ b/tests/pooler_status_test.cpp
@@ -18,15 +18,15 @@
 }  // namespace
 
 TEST_CASE("pooler status: what waits is counted by precedence with the longest wait", "[pooler][status]") {
-  PoolerTrial::Choice choice;
-  choice.share = 1;
-  PoolerTrial trial(choice);
-  trial.route("urgent", Consistency::primary, 0);
+  PoolerTrial::Options options;
+  options.share = 1;
+  PoolerTrial trial(options);
+  trial.addRoute("urgent", Consistency::primary, 0);
   trial.publishFleet();
   trial.publishService();
   trial.run(200ms);
   CHECK(trial.pooler->status().at("queue").empty());
-  trial.backEnds.at("d1").work = 300ms;
+  trial.backEnds.at("d1").runTime = 300ms;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
   auto carol = trial.client("carol", "urgent");
@@ -47,17 +47,17 @@
 TEST_CASE("pooler status: a database that is not used has its reasons", "[pooler][status]") {
   PoolerTrial trial;
   CHECK_FALSE(database(trial, "d2").contains("unused"));
-  trial.drained("d2");
+  trial.publishDrained("d2");
   trial.run(200ms);
   CHECK(database(trial, "d2").at("unused") == Json::array({"drained"}));
   auto alice = trial.client("alice");
-  trial.backEnds.at("d1").dark = true;
+  trial.backEnds.at("d1").unresponsive = true;
   alice->start("READ a");
   trial.run(900ms);
   auto reasons = database(trial, "d1").at("unused");
   CHECK(std::find(reasons.begin(), reasons.end(), "suspected") != reasons.end());
   CHECK(service(trial).at("waits") == Json::array({"the primary is suspected"}));
-  trial.backEnds.at("d1").dark = false;
+  trial.backEnds.at("d1").unresponsive = false;
   trial.run(2s);
 }
 
@@ -65,7 +65,7 @@
   PoolerTrial trial;
   CHECK_FALSE(service(trial).contains("waits"));
   CHECK(service(trial).at("lease_ms") == 2000);
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   trial.run(200ms);
   CHECK(service(trial).at("waits") == Json::array({"the primary is being recovered"}));
   trial.endLease();
@@ -77,15 +77,15 @@
 TEST_CASE("pooler status: a node without a share says why", "[pooler][status]") {
   PoolerTrial trial;
   CHECK_FALSE(service(trial).contains("shareless"));
-  trial.share(0);
+  trial.publishShare(0);
   trial.run(200ms);
   CHECK(service(trial).at("shareless") == "nothing is granted; the status of the duty holder says why");
   NodeNews other;
   other.boot = 99;
-  trial.news.put(fleetTopic, "node/10.1.0.1:1", other);
+  trial.updates.put(fleetTopic, "node/10.1.0.1:1", other);
   trial.run(200ms);
   CHECK(service(trial).at("shareless") == "registered under another boot");
-  trial.news.remove(fleetTopic, "node/10.1.0.1:1");
+  trial.updates.remove(fleetTopic, "node/10.1.0.1:1");
   trial.run(200ms);
   CHECK(service(trial).at("shareless") == "not registered");
   CHECK(trial.pooler->status().at("ready") == false);
--- a/tests/pooler_transactions_test.cpp
+++ b/tests/pooler_transactions_test.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-PoolerTrial::Choice oneConnection() {
-  PoolerTrial::Choice choice;
-  choice.share = 1;
-  return choice;
+PoolerTrial::Options oneConnection() {
+  PoolerTrial::Options options;
+  options.share = 1;
+  return options;
 }
 
 }  // namespace
@@ -61,10 +61,10 @@
   auto begins = trial.runsOf("BEGIN READ");
   REQUIRE(begins.size() == 1);
   CHECK(begins.front().database != "d1");
-  CHECK(begins.front().after == Place{Epoch{3}, Position{101}});
+  CHECK(begins.front().minPosition == Place{Epoch{3}, Position{101}});
   for (const char* text : {"READ a", "READ b", "COMMIT"}) {
     CHECK(trial.runsOf(text).front().connection == begins.front().connection);
-    CHECK_FALSE(trial.runsOf(text).front().after);
+    CHECK_FALSE(trial.runsOf(text).front().minPosition);
   }
 }
 
@@ -77,7 +77,7 @@
   CHECK(alice->ask("READ a") == "OK");
   CHECK(alice->ask("COMMIT") == "OK");
   CHECK(trial.runsOf("BEGIN").front().database == "d1");
-  CHECK_FALSE(trial.runsOf("BEGIN").front().after);
+  CHECK_FALSE(trial.runsOf("BEGIN").front().minPosition);
 }
 
 TEST_CASE("pooler transactions: one without statements costs no connection until its COMMIT", "[pooler][transactions]") {
@@ -98,7 +98,7 @@
   alice->ask("BEGIN");
   CHECK(alice->ask("WRITE a 1") == "OK");
   CHECK(alice->ask("ROLLBACK") == "OK");
-  CHECK(alice->last->taken() == 0ms);
+  CHECK(alice->last->elapsed() == 0ms);
   CHECK(alice->ask("READ a") == "OK");
   CHECK(trial.backEnds.at("d1").openings == 1);
   CHECK(trial.backEnds.at("d1").committed.empty());
@@ -127,7 +127,7 @@
   CHECK(alice->ask("WRITE a 1") == "OK");
   trial.backEnds.script("d1", StatementKind::write, ScriptedOutcome::silent);
   CHECK(alice->ask("WRITE a 2") == "ABORTED");
-  CHECK(alice->last->taken() <= 1010ms);
+  CHECK(alice->last->elapsed() <= 1010ms);
   CHECK(alice->ask("COMMIT") == "ABORTED");
   trial.run(2s);
   CHECK(trial.backEnds.at("d1").committed.empty());
@@ -141,7 +141,7 @@
   trial.backEnds.script("d1", StatementKind::begin, outcome);
   alice->ask("BEGIN");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  CHECK(alice->last->taken() < 200ms);
+  CHECK(alice->last->elapsed() < 200ms);
   CHECK(alice->ask("COMMIT") == "OK");
 }
 
@@ -214,7 +214,7 @@
   bob->ask("BEGIN READ");
   CHECK(bob->ask("READ a") == "OK");
   auto database = trial.runsOf("BEGIN READ").front().database;
-  trial.drained(database);
+  trial.publishDrained(database);
   trial.run(20ms);
   CHECK(bob->ask("READ b") == "OK");
   CHECK(bob->ask("COMMIT") == "OK");
--- a/tests/pooler_trial.cpp
+++ b/tests/pooler_trial.cpp
@@ -15,14 +15,14 @@
 const ServiceName serviceName{"s1"};
 const BranchName branch{"work"};
 
-bool promisesNothingKept(StatementFault fault) {
+bool guaranteesNoEffect(StatementFault fault) {
   return fault == StatementFault::busy || fault == StatementFault::aborted || fault == StatementFault::behind ||
          fault == StatementFault::readOnly || fault == StatementFault::misdirected || fault == StatementFault::overloaded;
 }
 
 }  // namespace
 
-std::string Asked::outcome() const {
+std::string ClientStatement::outcome() const {
   if (!reply) return "no reply";
   return reply->fault == StatementFault::none ? "OK" : platform::faultWord(reply->fault);
 }
@@ -39,21 +39,21 @@
 }
 
 void TrialClient::leave() {
-  if (session) trial_.pooler->gone(session);
+  if (session) trial_.pooler->closeSession(session);
   session = nullptr;
 }
 
-std::shared_ptr<Asked> TrialClient::start(const std::string& text) {
-  last = std::make_shared<Asked>();
+std::shared_ptr<ClientStatement> TrialClient::start(const std::string& text) {
+  last = std::make_shared<ClientStatement>();
   last->id = name_ + "." + std::to_string(++lastNumber_);
   last->text = text;
-  last->askedAt = trial_.world.now();
+  last->sentAt = trial_.world.now();
   REQUIRE(session);
-  trial_.scope_.spawn(asking(last));
+  trial_.scope_.spawn(send(last));
   return last;
 }
 
-Task<void> TrialClient::asking(std::shared_ptr<Asked> asked) {
+Task<void> TrialClient::send(std::shared_ptr<ClientStatement> asked) {
   auto statement = platform::clientStatement(asked->id, asked->text);
   if (!statement) {
     trial_.violations.push_back("not a statement: " + asked->text);
@@ -63,19 +63,19 @@
   if (begins && !inTransaction_) {
     writes_.clear();
     pinned_ = 0;
-    transactionAt_ = asked->askedAt;
+    transactionAt_ = asked->sentAt;
   }
   auto held = session;
   auto reply = co_await trial_.pooler->run(held, *statement);
   asked->reply = std::move(reply);
   asked->repliedAt = trial_.world.now();
-  judge(*asked);
+  checkReply(*asked);
 }
 
-void TrialClient::judge(const Asked& asked) {
+void TrialClient::checkReply(const ClientStatement& asked) {
   auto statement = *platform::clientStatement(asked.id, asked.text);
   const auto& reply = *asked.reply;
-  bool well = reply.fault == StatementFault::none;
+  bool succeeded = reply.fault == StatementFault::none;
   bool single = !inTransaction_;
   bool writes = statement.kind == StatementKind::write ||
                 (statement.kind == StatementKind::execute && prepared_.contains(statement.name) && prepared_.at(statement.name).writes);
@@ -83,32 +83,32 @@
   bool begins = statement.kind == StatementKind::begin || statement.kind == StatementKind::beginRead;
   bool atDatabase = statement.kind == StatementKind::read || statement.kind == StatementKind::write ||
                     statement.kind == StatementKind::execute || statement.kind == StatementKind::commit;
-  if (statement.kind == StatementKind::set && well) values_[statement.name] = statement.value;
-  if (well && (statement.kind == StatementKind::prepareRead || statement.kind == StatementKind::prepareWrite))
+  if (statement.kind == StatementKind::set && succeeded) values_[statement.name] = statement.value;
+  if (succeeded && (statement.kind == StatementKind::prepareRead || statement.kind == StatementKind::prepareWrite))
     prepared_[statement.name] = PreparedStatement{statement.kind == StatementKind::prepareWrite, statement.value};
-  if (statement.kind == StatementKind::discard && well) prepared_.erase(statement.name);
-  if (begins && well) inTransaction_ = true;
+  if (statement.kind == StatementKind::discard && succeeded) prepared_.erase(statement.name);
+  if (begins && succeeded) inTransaction_ = true;
   if (writes) writes_.push_back(asked.id);
-  if (well && atDatabase) {
+  if (succeeded && atDatabase) {
     auto same = [&](const ScriptedRun& run) {
       return run.statement.id == asked.id && run.ran && run.stamp == reply.stamp;
     };
     if (std::none_of(trial_.backEnds.runs.begin(), trial_.backEnds.runs.end(), same))
       trial_.violations.push_back("a success without the database's stamp: " + asked.id);
   }
-  if (well && !atDatabase && reply.stamp != "-") trial_.violations.push_back("an own answer with a stamp: " + asked.id);
-  if (well && ((single && writes) || statement.kind == StatementKind::commit)) {
+  if (succeeded && !atDatabase && reply.stamp != "-") trial_.violations.push_back("an own answer with a stamp: " + asked.id);
+  if (succeeded && ((single && writes) || statement.kind == StatementKind::commit)) {
     for (const auto& id : writes_) trial_.acknowledgedWrites_[id] = asked.id;
-    if (!writes_.empty()) trial_.acknowledged_.emplace_back(trial_.world.now(), trial_.places_[asked.id]);
+    if (!writes_.empty()) trial_.acknowledged_.emplace_back(trial_.world.now(), trial_.positions_[asked.id]);
   }
-  bool rolledBack = statement.kind == StatementKind::rollback && well && inTransaction_;
-  if (promisesNothingKept(reply.fault) || rolledBack)
-    for (const auto& id : writes_) trial_.promisedNotKept_.insert(id);
+  bool rolledBack = statement.kind == StatementKind::rollback && succeeded && inTransaction_;
+  if (guaranteesNoEffect(reply.fault) || rolledBack)
+    for (const auto& id : writes_) trial_.mustNotCommit_.insert(id);
   if (reply.state == TransactionState::idle) inTransaction_ = false;
   if (single || (ends && !inTransaction_)) writes_.clear();
 }
 
-std::string TrialClient::finish(const std::shared_ptr<Asked>& asked) {
+std::string TrialClient::finish(const std::shared_ptr<ClientStatement>& asked) {
   trial_.runUntil(30s, [&] {
     return asked->reply.has_value();
   });
@@ -120,17 +120,17 @@
   return finish(start(text));
 }
 
-PoolerTrial::PoolerTrial(Choice choice)
-    : world(choice.seed),
+PoolerTrial::PoolerTrial(Options options)
+    : world(options.seed),
       clock(world),
-      news(clock),
-      guide(clock, news, node, boot),
+      updates(clock),
+      guide(clock, updates, node, boot),
       journal("pooler", [](const std::string&) {}),
       backEnds(clock),
-      settings(choice.settings) {
+      settings(options.settings) {
   settings.node = node;
   settings.zone = Zone{"z1"};
-  backEnds.observed = [this](const ScriptedRun& run) {
+  backEnds.onRun = [this](const ScriptedRun& run) {
     observe(run);
   };
   backEnds.add("d1", true, Place{Epoch{3}, Position{100}});
@@ -139,14 +139,14 @@
   pooler.emplace(clock, guide, backEnds, journal, settings, boot, [this](NodeReport report) {
     reports.push_back(std::move(report));
   });
-  if (!choice.published) return;
-  route("strict", Consistency::primary);
-  route("bounded", Consistency::lookups);
-  route("house", Consistency::status);
+  if (!options.published) return;
+  addRoute("strict", Consistency::primary);
+  addRoute("bounded", Consistency::lookups);
+  addRoute("house", Consistency::status);
   publishFleet();
-  for (const char* name : {"d1", "d2", "d3"}) knows(name);
-  primary(1, "d1", true);
-  share(choice.share);
+  for (const char* name : {"d1", "d2", "d3"}) publishDatabase(name);
+  publishPrimary(1, "d1", true);
+  publishShare(options.share);
   publishService();
   run(700ms);
 }
@@ -165,7 +165,7 @@
     for (const auto& id : database.committed) ++times[id];
   for (const auto& [id, count] : times)
     if (count > 1) violations.push_back("committed twice: " + id);
-  for (const auto& id : promisedNotKept_)
+  for (const auto& id : mustNotCommit_)
     if (times.contains(id)) violations.push_back("kept against a promise: " + id);
   for (const auto& [id, by] : acknowledgedWrites_)
     if (!times.contains(id)) violations.push_back("acknowledged and not committed: " + id + " by " + by);
@@ -175,7 +175,7 @@
   const auto& id = run.statement.id;
   auto found = clients_.find(id.substr(0, id.find('.')));
   if (id.empty() || found == clients_.end()) return;
-  places_[id] = run.place;
+  positions_[id] = run.logPosition;
   auto& client = *found->second;
   auto violate = [&](const std::string& what) {
     violations.push_back(what + ": " + id + " " + run.statement.text);
@@ -197,9 +197,9 @@
   if (!read) return;
   auto consistency = kinds.contains(KindName{client.host_}) ? kinds.at(KindName{client.host_}).consistency : Consistency::primary;
   auto bound = consistency == Consistency::primary ? Duration::zero() : kinds.at(KindName{client.host_}).stalenessBound();
-  auto since = (client.inTransaction_ ? client.transactionAt_ : client.last->askedAt) - bound;
-  for (const auto& [at, place] : acknowledged_)
-    if (at < since && run.place < place) return violate("a stale read");
+  auto since = (client.inTransaction_ ? client.transactionAt_ : client.last->sentAt) - bound;
+  for (const auto& [at, logPosition] : acknowledged_)
+    if (at < since && run.logPosition < logPosition) return violate("a stale read");
 }
 
 bool PoolerTrial::runUntil(Duration atMost, const std::function<bool()>& reached) {
@@ -217,11 +217,11 @@
   plan.mark = PlanMark{++planMark_};
   for (const auto& [name, kind] : kinds) plan.kinds[name] = kind.service;
   plan.limits["idle-transaction-ms"] = 3000;
-  news.putPlan(fleetTopic, plan);
+  updates.putPlan(fleetTopic, plan);
   NodeNews own;
   own.zone = settings.zone;
   own.boot = boot;
-  news.put(fleetTopic, "node/" + node.get(), own);
+  updates.put(fleetTopic, "node/" + node.get(), own);
 }
 
 void PoolerTrial::publishService(const std::string& name) {
@@ -232,37 +232,37 @@
   service.service.branches[branch].connections = 100;
   for (const auto& [kindName, kind] : kinds)
     if (kind.service == ServiceName{name}) service.kinds[kindName] = kind;
-  news.putPlan(name, service);
+  updates.putPlan(name, service);
 }
 
-void PoolerTrial::primary(std::uint64_t epoch, const std::string& name, bool promoted, bool planned, const std::string& service) {
-  news.put(service, "primary", PrimaryNews{Epoch{epoch}, DatabaseName{name}, promoted, planned});
+void PoolerTrial::publishPrimary(std::uint64_t epoch, const std::string& name, bool promoted, bool planned, const std::string& service) {
+  updates.put(service, "primary", PrimaryNews{Epoch{epoch}, DatabaseName{name}, promoted, planned});
 }
 
-void PoolerTrial::share(std::uint32_t most, const std::string& service) {
+void PoolerTrial::publishShare(std::uint32_t most, const std::string& service) {
   ShareNews own;
   own.most[branch] = most;
-  news.put(service, "share/" + node.get(), own);
+  updates.put(service, "share/" + node.get(), own);
 }
 
-void PoolerTrial::knows(const std::string& name, const std::string& zone, const std::string& service) {
-  news.put(service, "database/" + name, DatabaseNews{Address{"10.2.0." + name.substr(1) + ":1"}, Zone{zone}, 100});
+void PoolerTrial::publishDatabase(const std::string& name, const std::string& zone, const std::string& service) {
+  updates.put(service, "database/" + name, DatabaseNews{Address{"10.2.0." + name.substr(1) + ":1"}, Zone{zone}, 100});
 }
 
-void PoolerTrial::drained(const std::string& name) {
-  news.put("s1", "drained/" + name, std::string{});
+void PoolerTrial::publishDrained(const std::string& name) {
+  updates.put("s1", "drained/" + name, std::string{});
 }
 
-void PoolerTrial::leads(const std::string& name) {
+void PoolerTrial::makePrimary(const std::string& name) {
   std::uint64_t term = 0;
   for (const auto& [each, database] : backEnds.databases()) {
     backEnds.at(each).primary = each == name;
-    term = std::max(term, database.place.epoch.get());
+    term = std::max(term, database.logPosition.epoch.get());
   }
-  backEnds.at(name).place.epoch = Epoch{term + 1};
+  backEnds.at(name).logPosition.epoch = Epoch{term + 1};
 }
 
-void PoolerTrial::route(const std::string& name, Consistency consistency, std::uint32_t order) {
+void PoolerTrial::addRoute(const std::string& name, Consistency consistency, std::uint32_t order) {
   auto& own = kinds[KindName{name}];
   own.service = serviceName;
   own.branch = branch;
@@ -299,7 +299,7 @@
   return ids;
 }
 
-std::uint64_t PoolerTrial::counted(const std::string& name) const {
+std::uint64_t PoolerTrial::counterValue(const std::string& name) const {
   auto found = journal.counters().find(name);
   return found == journal.counters().end() ? 0 : found->second;
 }
--- a/tests/pooler_trial.hpp
+++ b/tests/pooler_trial.hpp
@@ -6,17 +6,17 @@
 #include "simulated/simulated_clock.hpp"
 #include "simulated/simulated_journal.hpp"
 #include "tests/scripted_back_ends.hpp"
-#include "tests/scripted_news.hpp"
+#include "tests/scripted_updates.hpp"
 
 namespace tamarindshift {
 
-struct Asked {
+struct ClientStatement {
   std::string id;
   std::string text;
-  Instant askedAt{};
+  Instant sentAt{};
   Instant repliedAt{};
   std::optional<StatementReply> reply;
-  Duration taken() const { return repliedAt - askedAt; }
+  Duration elapsed() const { return repliedAt - sentAt; }
   std::string outcome() const;
 };
 
@@ -29,19 +29,19 @@
   ~TrialClient();
   // OK or the word of the fault
   std::string ask(const std::string& text);
-  std::shared_ptr<Asked> start(const std::string& text);
-  std::string finish(const std::shared_ptr<Asked>& asked);
+  std::shared_ptr<ClientStatement> start(const std::string& text);
+  std::string finish(const std::shared_ptr<ClientStatement>& asked);
   void leave();
   const std::string& name() const { return name_; }
 
   std::shared_ptr<ClientSession> session;
-  std::shared_ptr<Asked> last;
+  std::shared_ptr<ClientStatement> last;
   StatementReply refusal;
 
  private:
   friend class PoolerTrial;
-  Task<void> asking(std::shared_ptr<Asked> asked);
-  void judge(const Asked& asked);
+  Task<void> send(std::shared_ptr<ClientStatement> asked);
+  void checkReply(const ClientStatement& asked);
 
   PoolerTrial& trial_;
   std::string name_;
@@ -59,14 +59,14 @@
 // it as the clients' acknowledged state says, and promises given to clients must hold.
 class PoolerTrial {
  public:
-  struct Choice {
+  struct Options {
     std::uint64_t seed = 1;
     std::uint32_t share = 4;
     PoolerSettings settings;
     bool published = true;
   };
-  PoolerTrial() : PoolerTrial(Choice{}) {}
-  explicit PoolerTrial(Choice choice);
+  PoolerTrial() : PoolerTrial(Options{}) {}
+  explicit PoolerTrial(Options options);
   ~PoolerTrial();
 
   void run(Duration duration) { world.runUntil(world.now() + duration); }
@@ -75,15 +75,15 @@
 
   void publishFleet();
   void publishService(const std::string& name = "s1");
-  void primary(std::uint64_t epoch, const std::string& name, bool promoted, bool planned = false, const std::string& service = "s1");
-  void share(std::uint32_t most, const std::string& service = "s1");
-  void knows(const std::string& name, const std::string& zone = "z1", const std::string& service = "s1");
-  void drained(const std::string& name);
+  void publishPrimary(std::uint64_t epoch, const std::string& name, bool promoted, bool planned = false, const std::string& service = "s1");
+  void publishShare(std::uint32_t most, const std::string& service = "s1");
+  void publishDatabase(const std::string& name, const std::string& zone = "z1", const std::string& service = "s1");
+  void publishDrained(const std::string& name);
   // the database itself is primary from now on, of a new term
-  void leads(const std::string& name);
-  void route(const std::string& name, Consistency consistency, std::uint32_t order = 1);
-  void endLease() { news.endLease("s1"); }
-  void renewLease() { news.renewLease("s1"); }
+  void makePrimary(const std::string& name);
+  void addRoute(const std::string& name, Consistency consistency, std::uint32_t order = 1);
+  void endLease() { updates.endLease("s1"); }
+  void renewLease() { updates.renewLease("s1"); }
 
   std::vector<ScriptedRun> runsOf(const std::string& text) const;
   std::size_t committed(const std::string& id) const;
@@ -91,11 +91,11 @@
   const NodeReport& report() const { return reports.back(); }
   // what was last told of the service; a report may leave out what has not changed
   const ServiceReport& serviceReport() const;
-  std::uint64_t counted(const std::string& name) const;
+  std::uint64_t counterValue(const std::string& name) const;
 
   World world;
   SimulatedClock clock;
-  ScriptedNews news;
+  ScriptedUpdates updates;
   Guide guide;
   SimulatedJournal journal;
   ScriptedBackEnds backEnds;
@@ -113,8 +113,8 @@
   std::map<std::string, TrialClient*> clients_;
   std::vector<std::pair<Instant, Place>> acknowledged_;
   std::map<std::string, std::string> acknowledgedWrites_;
-  std::set<std::string> promisedNotKept_;
-  std::map<std::string, Place> places_;
+  std::set<std::string> mustNotCommit_;
+  std::map<std::string, Place> positions_;
   std::uint64_t planMark_ = 0;
   TaskScope scope_;
 };
--- a/tests/pooler_writes_test.cpp
+++ b/tests/pooler_writes_test.cpp
@@ -29,14 +29,14 @@
 TEST_CASE("pooler writes: one that is cut at a change of primary has an unknown outcome and stays where it was", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
-  trial.backEnds.at("d1").work = 300ms;
+  trial.backEnds.at("d1").runTime = 300ms;
   auto asked = alice->start("WRITE a 1");
   trial.run(50ms);
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   CHECK(alice->finish(asked) == "UNRESOLVED");
-  CHECK(asked->taken() < 60ms);
-  trial.leads("d2");
-  trial.primary(2, "d2", true);
+  CHECK(asked->elapsed() < 60ms);
+  trial.makePrimary("d2");
+  trial.publishPrimary(2, "d2", true);
   trial.run(3s);
   CHECK(trial.runsOf("WRITE a 1").size() == 1);
   CHECK(alice->ask("WRITE a 2") == "OK");
@@ -51,7 +51,7 @@
   CHECK(alice->ask("WRITE a 1") == "OK");
   CHECK(trial.runsOf("WRITE a 1").size() == 4);
   CHECK(trial.committed(alice->last->id) == 1);
-  CHECK(alice->last->taken() < 200ms);
+  CHECK(alice->last->elapsed() < 200ms);
 }
 
 TEST_CASE("pooler writes: one that stays busy is answered after the hold with when to come back", "[pooler][writes]") {
@@ -61,9 +61,9 @@
   for (int times = 0; times < 100; ++times) trial.backEnds.script("d1", StatementKind::write, outcome);
   auto word = alice->ask("WRITE a 1");
   CHECK((word == "CONGESTED" || word == "READONLY"));
-  CHECK(alice->last->reply->comeBack);
-  CHECK(alice->last->taken() >= 300ms);
-  CHECK(alice->last->taken() <= 550ms);
+  CHECK(alice->last->reply->retryAfter);
+  CHECK(alice->last->elapsed() >= 300ms);
+  CHECK(alice->last->elapsed() <= 550ms);
   CHECK(trial.committed(alice->last->id) == 0);
   auto tries = trial.runsOf("WRITE a 1").size();
   trial.run(3s);
@@ -103,11 +103,11 @@
   trial.backEnds.script("d1", StatementKind::set, ScriptedOutcome::slow);
   auto asked = alice->start("WRITE a 1");
   trial.run(50ms);
-  trial.leads("d2");
+  trial.makePrimary("d2");
   bool planned = GENERATE(false, true);
-  trial.primary(2, "d2", false, planned);
+  trial.publishPrimary(2, "d2", false, planned);
   trial.run(50ms);
-  trial.primary(2, "d2", true, planned);
+  trial.publishPrimary(2, "d2", true, planned);
   CHECK(alice->finish(asked) == "OK");
   auto runs = trial.runsOf("WRITE a 1");
   REQUIRE(runs.size() == 1);
@@ -117,34 +117,34 @@
 TEST_CASE("pooler writes: one without a promoted primary waits for it and runs once", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   trial.run(20ms);
   auto asked = alice->start("WRITE a 1");
   trial.run(200ms);
   CHECK(trial.runsOf("WRITE a 1").empty());
-  trial.leads("d2");
-  trial.primary(2, "d2", true);
+  trial.makePrimary("d2");
+  trial.publishPrimary(2, "d2", true);
   CHECK(alice->finish(asked) == "OK");
   CHECK(trial.runsOf("WRITE a 1").size() == 1);
 }
 
 TEST_CASE("pooler writes: whatever happens to connections, no write runs twice and promises hold", "[pooler][writes][seeds]") {
   for (std::uint64_t seed = 100; seed < 112; ++seed) {
-    PoolerTrial::Choice choice;
-    choice.seed = seed;
-    choice.share = 2;
-    PoolerTrial trial(choice);
+    PoolerTrial::Options options;
+    options.seed = seed;
+    options.share = 2;
+    PoolerTrial trial(options);
     INFO("seed " << seed);
     auto& world = trial.world;
     std::vector<std::unique_ptr<TrialClient>> clients;
     for (int number = 0; number < 5; ++number) clients.push_back(trial.client("c" + std::to_string(number)));
     std::uint64_t epoch = 1;
     std::map<std::string, int> outcomes;
-    std::vector<std::shared_ptr<Asked>> asked(clients.size());
+    std::vector<std::shared_ptr<ClientStatement>> asked(clients.size());
     std::string leader = "d1";
     for (int step = 0; step < 9000; ++step) {
       trial.run(1ms);
-      if (world.chance(3)) trial.backEnds.breakOff(leader);
+      if (world.chance(3)) trial.backEnds.closeConnections(leader);
       if (world.chance(20)) {
         ScriptedOutcome scripted[] = {ScriptedOutcome::busy,
                                       ScriptedOutcome::lostAfterRunning,
@@ -158,11 +158,11 @@
       }
       if (step % 1500 == 700) {
         leader = "d" + std::to_string(1 + world.below(3));
-        trial.primary(++epoch, leader, false, world.chance(500));
+        trial.publishPrimary(++epoch, leader, false, world.chance(500));
       }
       if (step % 1500 == 1300) {
-        trial.leads(leader);
-        trial.primary(epoch, leader, true);
+        trial.makePrimary(leader);
+        trial.publishPrimary(epoch, leader, true);
       }
       if (step % 2000 == 100) trial.endLease();
       if (step % 2000 == 400) trial.renewLease();
--- a/tests/rationing_test.cpp
+++ b/tests/rationing_test.cpp
@@ -161,7 +161,7 @@
   }));
   cluster.start("d9", "replica", Position{0});
   cluster.databases.at("d9").heartbeat.address = Address{"10.2.0.1:1"};
-  cluster.databases.tell("d9");
+  cluster.databases.sendHeartbeat("d9");
   REQUIRE(cluster.runUntil(3s, [&] {
     return !cluster.replica(0).state().enrolled(s1, d1);
   }));
--- a/tests/scripted_back_ends.hpp
+++ b/tests/scripted_back_ends.hpp
@@ -32,10 +32,10 @@
   std::uint64_t connection = 0;
   std::string database;
   Statement statement;
-  std::optional<Place> after;
+  std::optional<Place> minPosition;
   std::map<std::string, std::string> values;
   std::map<std::string, PreparedStatement> prepared;
-  Place place;
+  Place logPosition;
   bool inTransaction = false;
   bool ran = false;
   Instant at{};
@@ -45,19 +45,19 @@
 struct ScriptedDatabase {
   std::string name;
   bool primary = false;
-  Place place;
-  Duration work = 5ms;
-  Duration slowness = 300ms;
-  Duration openWork = 2ms;
+  Place logPosition;
+  Duration runTime = 5ms;
+  Duration slowDelay = 300ms;
+  Duration openTime = 2ms;
   Duration lag = 2ms;
-  bool follows = true;
-  bool dark = false;
+  bool replicates = true;
+  bool unresponsive = false;
   // values and names laid in a transaction go with its rollback
-  bool rollbackForgets = false;
+  bool rollbackRestoresState = false;
   std::map<StatementKind, std::deque<ScriptedOutcome>> next;
   ScriptedOpening opening = ScriptedOpening::accepted;
   std::uint32_t connections = 0;
-  std::uint32_t mostConnections = 0;
+  std::uint32_t peakConnections = 0;
   std::uint32_t openings = 0;
   Instant lastOpening{};
   std::vector<std::string> committed;
@@ -65,35 +65,36 @@
 
 class ScriptedConnection;
 
-class ScriptedBackEnds : public BackEnds {
+class ScriptedBackEnds : public BackEndConnector {
  public:
   explicit ScriptedBackEnds(Clock& clock) : clock_(clock) {}
 
-  ScriptedDatabase& add(const std::string& name, bool primary, Place place);
+  ScriptedDatabase& add(const std::string& name, bool primary, Place logPosition);
   ScriptedDatabase& at(const std::string& name) { return databases_.at(name); }
   const std::map<std::string, ScriptedDatabase>& databases() const { return databases_; }
   void script(const std::string& name, StatementKind kind, ScriptedOutcome outcome) { at(name).next[kind].push_back(outcome); }
   // closes all connections of a database from its side
-  void breakOff(const std::string& name);
-  Task<BackEndOpening> open(DatabaseTarget target, Instant deadline) override;
+  void closeConnections(const std::string& name);
+  Task<BackEndOpenResult> open(DatabaseTarget target, Instant deadline) override;
 
   std::vector<ScriptedRun> runs;
   std::vector<std::string> violations;
-  std::function<void(const ScriptedRun&)> observed;
+  std::function<void(const ScriptedRun&)> onRun;
 
  private:
   friend class ScriptedConnection;
-  struct Wire;
-  Task<BackEndReply> run(std::shared_ptr<Wire> wire, Statement statement, std::optional<Place> after, Instant deadline);
-  BackEndReply execute(Wire& wire, std::size_t number, std::optional<ScriptedOutcome> outcome);
-  StatementFault effect(Wire& wire, ScriptedRun& run);
+  struct ServerConnection;
+  Task<BackEndReply> run(std::shared_ptr<ServerConnection> connection, Statement statement, std::optional<Place> minPosition,
+                         Instant deadline);
+  BackEndReply execute(ServerConnection& connection, std::size_t number, std::optional<ScriptedOutcome> outcome);
+  StatementFault effect(ServerConnection& connection, ScriptedRun& run);
   void commit(ScriptedDatabase& database, std::vector<std::string> ids);
-  void close(Wire& wire);
-  static void rollBack(Wire& wire);
+  void close(ServerConnection& connection);
+  static void rollBack(ServerConnection& connection);
 
   Clock& clock_;
   std::map<std::string, ScriptedDatabase> databases_;
-  std::vector<std::weak_ptr<Wire>> wires_;
+  std::vector<std::weak_ptr<ServerConnection>> connections_;
   std::uint64_t lastConnection_ = 0;
 };
 
--- a/tests/scripted_databases.cpp
+++ b/tests/scripted_databases.cpp
@@ -2,18 +2,18 @@
 
 namespace tamarindshift {
 
-void ScriptedDatabases::add(const DatabaseHeartbeat& heartbeat, Place place) {
+void ScriptedDatabases::add(const DatabaseHeartbeat& heartbeat, Place logPosition) {
   auto& added = databases_[heartbeat.database];
   added = Database{};
   added.heartbeat = heartbeat;
-  added.place = place;
+  added.logPosition = logPosition;
   scope_.spawn(heartbeats(heartbeat.database));
 }
 
-void ScriptedDatabases::tell(const std::string& name) {
+void ScriptedDatabases::sendHeartbeat(const std::string& name) {
   auto& own = at(name);
   ++own.heartbeat.number;
-  if (own.up && !own.dark && !own.silent) scope_.spawn(pass(own.heartbeat));
+  if (own.up && !own.unresponsive && !own.heartbeatsStopped) scope_.spawn(deliver(own.heartbeat));
 }
 
 std::uint64_t ScriptedDatabases::statusCalls() const {
@@ -22,13 +22,13 @@
   return sum;
 }
 
-Task<void> ScriptedDatabases::pass(DatabaseHeartbeat heartbeat) {
+Task<void> ScriptedDatabases::deliver(DatabaseHeartbeat heartbeat) {
   co_await deliver_(heartbeat);
 }
 
 Task<void> ScriptedDatabases::heartbeats(DatabaseName name) {
   for (;;) {
-    tell(name.get());
+    sendHeartbeat(name.get());
     co_await sleep(clock_, 1200ms);
   }
 }
@@ -36,11 +36,11 @@
 Task<bool> ScriptedDatabases::answers(DatabaseName name, Instant deadline) {
   auto found = databases_.find(name);
   if (found == databases_.end()) co_return false;
-  if (found->second.dark)
+  if (found->second.unresponsive)
     co_await sleep(clock_, deadline - clock_.now());
   else
     co_await sleep(clock_, 1ms);
-  co_return found->second.up && !found->second.dark;
+  co_return found->second.up && !found->second.unresponsive;
 }
 
 Task<std::optional<DatabaseStanding>> ScriptedDatabases::status(DatabaseTarget target, Instant deadline) {
@@ -55,10 +55,10 @@
   if (!answered) co_return std::nullopt;
   auto& own = databases_[target.database];
   own.demotedWith.push_back(epoch);
-  if (own.heartbeat.role == "primary" && epoch > own.place.epoch) {
+  if (own.heartbeat.role == "primary" && epoch > own.logPosition.epoch) {
     own.demotedAt = clock_.now();
     own.heartbeat.role = "replica";
-    tell(target.database.get());
+    sendHeartbeat(target.database.get());
   }
   co_return standing(own);
 }
@@ -72,20 +72,20 @@
     co_await sleep(clock_, deadline - clock_.now());
   else
     co_await sleep(clock_, 5ms);
-  if (own.promotion == PromotionOutcome::accepted && own.leadsWhenAccepted) scope_.spawn(lead(target.database));
+  if (own.promotion == PromotionOutcome::accepted && own.promotesWhenAccepted) scope_.spawn(becomePrimary(target.database));
   co_return own.promotion;
 }
 
-Task<void> ScriptedDatabases::lead(DatabaseName name) {
+Task<void> ScriptedDatabases::becomePrimary(DatabaseName name) {
   co_await sleep(clock_, 300ms);
   auto& own = databases_[name];
   Epoch newest;
   for (const auto& [other, database] : databases_) newest = std::max(newest, database.term());
   if (own.heartbeat.role == "primary" && own.term() == newest) co_return;
   own.heartbeat.role = "primary";
-  own.place.epoch = own.newestTerm = Epoch{newest.get() + 1};
-  own.ledAt = clock_.now();
-  tell(name.get());
+  own.logPosition.epoch = own.newestTerm = Epoch{newest.get() + 1};
+  own.becamePrimaryAt = clock_.now();
+  sendHeartbeat(name.get());
 }
 
 }  // namespace tamarindshift
--- a/tests/scripted_databases.hpp
+++ b/tests/scripted_databases.hpp
@@ -14,31 +14,31 @@
  public:
   struct Database {
     DatabaseHeartbeat heartbeat;
-    Place place;
+    Place logPosition;
     /// The newest term it knows of, where that is above the one of its log.
     Epoch newestTerm;
     bool up = true;
-    bool dark = false;
-    bool silent = false;
+    bool unresponsive = false;
+    bool heartbeatsStopped = false;
     PromotionOutcome promotion = PromotionOutcome::accepted;
-    bool leadsWhenAccepted = true;
+    bool promotesWhenAccepted = true;
     std::uint64_t statusCalls = 0;
     std::uint64_t promoteCalls = 0;
     std::vector<Epoch> demotedWith;
     Instant demotedAt{};
     Instant promotedAt{};
     /// When it last began to lead by a promotion.
-    Instant ledAt{};
-    Epoch term() const { return std::max(newestTerm, place.epoch); }
+    Instant becamePrimaryAt{};
+    Epoch term() const { return std::max(newestTerm, logPosition.epoch); }
   };
   using Deliver = std::function<Task<DoorReply>(DatabaseHeartbeat)>;
 
   ScriptedDatabases(Clock& clock, Deliver deliver) : clock_(clock), deliver_(std::move(deliver)) {}
   Database& at(const std::string& name) { return databases_.at(DatabaseName{name}); }
-  void add(const DatabaseHeartbeat& heartbeat, Place place);
+  void add(const DatabaseHeartbeat& heartbeat, Place logPosition);
   // a database that never sent a heartbeat and answers nothing
-  void addUnheard(const std::string& name) { databases_[DatabaseName{name}].dark = true; }
-  void tell(const std::string& name);
+  void addUnresponsive(const std::string& name) { databases_[DatabaseName{name}].unresponsive = true; }
+  void sendHeartbeat(const std::string& name);
   std::uint64_t statusCalls() const;
   const std::vector<DutyHolder>& holders() const { return holders_; }
 
@@ -48,11 +48,11 @@
 
  private:
   Task<void> heartbeats(DatabaseName name);
-  Task<void> lead(DatabaseName name);
-  Task<void> pass(DatabaseHeartbeat heartbeat);
+  Task<void> becomePrimary(DatabaseName name);
+  Task<void> deliver(DatabaseHeartbeat heartbeat);
   Task<bool> answers(DatabaseName name, Instant deadline);
   DatabaseStanding standing(const Database& database) const {
-    return DatabaseStanding{database.heartbeat.role, database.place.epoch, database.place.position, {}, database.term()};
+    return DatabaseStanding{database.heartbeat.role, database.logPosition.epoch, database.logPosition.position, {}, database.term()};
   }
 
   Clock& clock_;
--- a/tests/scripted_line.hpp
+++ b/tests/scripted_line.hpp
@@ -41,12 +41,12 @@
     }
     arrived_.open();
   }
-  void farCloses() {
+  void closeByPeer() {
     ended_ = true;
     arrived_.open();
   }
   bool closed() const { return !open_; }
-  std::string taken() { return std::exchange(written, {}); }
+  std::string takeWritten() { return std::exchange(written, {}); }
 
   std::string written;
 
--- a/tests/scripted_news.hpp
+++ b/tests/scripted_updates.hpp
@@ -8,9 +8,9 @@
 namespace tamarindshift {
 
 // news that a test publishes itself, under a lease that goes on until the test ends it
-class ScriptedNews : public NewsFeed {
+class ScriptedUpdates : public NewsFeed {
  public:
-  explicit ScriptedNews(Clock& clock) : clock_(clock) {}
+  explicit ScriptedUpdates(Clock& clock) : clock_(clock) {}
 
   std::optional<Instant> leaseUntil(const Topic& topic) override {
     if (ended_.contains(topic)) return std::nullopt;
