--- a/src/control/replica_node.hpp
+++ b/src/control/replica_node.hpp
@@ -21,7 +21,7 @@
   /// Reads the store and starts to serve. Returns the reason if that fails.
   std::optional<std::string> start();
   /// Whether the group has removed this member for good.
-  bool dismissed() const { return core_.dismissed(); }
+  bool dismissed() const { return core_.removedFromGroup(); }
   const ReplicationEngine& engine() const { return core_.engine(); }
   ReplicationEngine& engine() { return core_.engine(); }
   const SequencedGroup& group() const { return core_.group(); }
--- a/src/engine/yellow.hpp
+++ b/src/engine/yellow.hpp
@@ -6,10 +6,11 @@
 
 namespace tamarindshift {
 
+/// Actions that were ordered while a primary component ended: its other members may have made them green, in this order.
 struct Yellow {
   bool valid = false;
-  std::vector<ActionId> set;
-  MSGPACK_DEFINE(valid, set)
+  std::vector<ActionId> actionIds;
+  MSGPACK_DEFINE(valid, actionIds)
 };
 
 }  // namespace tamarindshift
--- a/tests/duty_proof_test.cpp
+++ b/tests/duty_proof_test.cpp
@@ -16,7 +16,7 @@
     own().hasRecentWork = true;
     for (const char* name : {"d2", "d3"}) databases.at(name).promotion = PromotionOutcome::unanswered;
     databases.at("d1").up = false;
-    databases.at("d1").silent = true;
+    databases.at("d1").heartbeatsStopped = true;
     own().suspects = {DatabaseName{"d1"}};
     REQUIRE(runUntil(5s, [&] {
       return !databases.holders().empty();
--- a/tests/former_primary_test.cpp
+++ b/tests/former_primary_test.cpp
@@ -12,24 +12,24 @@
   explicit FormerPrimary(std::uint32_t syncReplicas = 0) : DiscoveredCluster(syncReplicas) {
     own().hasRecentWork = true;
     auto& former = databases.at("d1");
-    former.unreachable = true;
+    former.unresponsive = true;
     own().suspects = {DatabaseName{"d1"}};
     REQUIRE(runUntil(5s, [&] {
       return promoted("d2");
     }));
     run(1s);
-    for (const char* name : {"d2", "d3"}) databases.at(name).newestTerm = databases.at("d2").logEnd.epoch;
+    for (const char* name : {"d2", "d3"}) databases.at(name).newestTerm = databases.at("d2").logPosition.epoch;
   }
 
   // the former primary is reached again and still says that it leads, the next one crashes
   void comesBack() {
-    databases.at("d1").unreachable = false;
+    databases.at("d1").unresponsive = false;
     own().suspects = {};
     databases.sendHeartbeat("d1");
     run(20ms);
     for (const char* name : {"d2", "d3"}) {
       databases.at(name).up = false;
-      databases.at(name).silent = true;
+      databases.at(name).heartbeatsStopped = true;
     }
     own().suspects = {DatabaseName{"d2"}};
   }
@@ -64,7 +64,7 @@
 
 TEST_CASE("a former primary whose promotion has no effect is never taken for the primary") {
   FormerPrimary cluster;
-  cluster.databases.at("d1").leadsWhenAccepted = false;
+  cluster.databases.at("d1").promotesWhenAccepted = false;
   cluster.comesBack();
   CHECK_FALSE(cluster.promotedWhileTelling(15s));
   CHECK(cluster.databases.at("d1").promoteCalls >= 2);
@@ -74,7 +74,7 @@
   DiscoveredCluster cluster;
   cluster.own().hasRecentWork = true;
   cluster.databases.at("d1").up = false;
-  cluster.databases.at("d1").silent = true;
+  cluster.databases.at("d1").heartbeatsStopped = true;
   cluster.own().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(5s, [&] {
     return cluster.databases.at("d2").promoteCalls > 0;
--- a/tests/large_changes_test.cpp
+++ b/tests/large_changes_test.cpp
@@ -55,14 +55,14 @@
   cluster.run(3s);
   for (int number = 0; number < changes; ++number) cluster.change((member + 1 + static_cast<std::size_t>(number) % 2) % 3);
   EngineBounds bounds;
-  for (std::size_t each = 0; each < 3; ++each) CHECK(cluster.replica(each).engine().greenKeptBytes() <= bounds.greenKeptBytes);
+  for (std::size_t each = 0; each < 3; ++each) CHECK(cluster.replica(each).engine().greenKeptBytes() <= bounds.maxGreenKeptBytes);
   auto before = cluster.network.passedBytes();
   cluster.setPartitioned(member, false);
   REQUIRE(cluster.runUntil(5s, [&] {
     return cluster.isCurrent(0) && cluster.isCurrent(1) && cluster.isCurrent(2);
   }));
   // One copy to each of two members, and the submitted orders.
-  CHECK(cluster.network.passedBytes() - before < 3 * bounds.greenKeptBytes);
+  CHECK(cluster.network.passedBytes() - before < 3 * bounds.maxGreenKeptBytes);
   cluster.change(0);
   cluster.run(1s);
   CHECK((cluster.isCurrent(0) && cluster.isCurrent(1) && cluster.isCurrent(2)));
@@ -72,16 +72,16 @@
   LargeChanges cluster;
   for (int number = 0; number < 200; ++number) cluster.change(0);
   EngineBounds bounds;
-  for (std::size_t each = 0; each < 3; ++each) CHECK(cluster.replica(each).engine().greenKeptBytes() <= bounds.greenKeptBytes);
+  for (std::size_t each = 0; each < 3; ++each) CHECK(cluster.replica(each).engine().greenKeptBytes() <= bounds.maxGreenKeptBytes);
 }
 
 TEST_CASE("orders beyond the waiting bytes limit are refused at once, and accepted again afterwards") {
   EngineCluster cluster(3, 5);
-  cluster.padding = 100'000;
+  cluster.paddingBytes = 100'000;
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(3s);
   for (int number = 0; number < 200; ++number) cluster.submit(1);
-  auto most = cluster.bounds.waitingBytes / cluster.padding;
+  auto most = cluster.bounds.maxPendingBytes / cluster.paddingBytes;
   CHECK(cluster.nodes[1]->core->engine().ongoingCount() <= most);
   cluster.run(3s);
   CHECK(cluster.acknowledged.size() <= most);
@@ -89,7 +89,7 @@
   cluster.submit(1);
   cluster.run(1s);
   CHECK(cluster.acknowledged.size() > most - 2);
-  cluster.judge();
+  cluster.verify();
   CHECK(cluster.faults.empty());
 }
 
@@ -97,7 +97,7 @@
   EngineCluster cluster(3, 6);
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(3s);
-  cluster.padding = cluster.bounds.waitingBytes + 1;
+  cluster.paddingBytes = cluster.bounds.maxPendingBytes + 1;
   cluster.submit(0);
   cluster.run(2s);
   CHECK(cluster.acknowledged.size() == 1);
@@ -105,7 +105,7 @@
 
 TEST_CASE("messages that a member has not received are resent in small parts") {
   EngineCluster cluster(3, 7);
-  cluster.padding = 100'000;
+  cluster.paddingBytes = 100'000;
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(3s);
   cluster.network.cut(cluster.host(0), cluster.host(2));
@@ -113,12 +113,12 @@
   std::size_t orders = 40;
   for (std::size_t number = 0; number < orders; ++number) cluster.submit(0);
   cluster.run(450ms);
-  auto once = 2 * orders * cluster.padding;
+  auto once = 2 * orders * cluster.paddingBytes;
   // At most five heartbeats, each with a part of one mebibyte and one more order.
-  CHECK(cluster.network.passedBytes() - before < once + 5 * ((1u << 20) + 2 * cluster.padding));
+  CHECK(cluster.network.passedBytes() - before < once + 5 * ((1u << 20) + 2 * cluster.paddingBytes));
   cluster.network.healAll();
   cluster.run(3s);
   CHECK(cluster.acknowledged.size() == orders);
-  cluster.judge();
+  cluster.verify();
   CHECK(cluster.faults.empty());
 }
--- a/tests/scripted_databases.cpp
+++ b/tests/scripted_databases.cpp
@@ -2,18 +2,18 @@
 
 namespace tamarindshift {
 
-void ScriptedDatabases::add(const DatabaseHeartbeat& heartbeat, LogPosition logEnd) {
+void ScriptedDatabases::add(const DatabaseHeartbeat& heartbeat, LogPosition logPosition) {
   auto& added = databases_[heartbeat.database];
   added = Database{};
   added.heartbeat = heartbeat;
-  added.logEnd = logEnd;
+  added.logPosition = logPosition;
   scope_.spawn(sendHeartbeats(heartbeat.database));
 }
 
 void ScriptedDatabases::sendHeartbeat(const std::string& name) {
   auto& own = at(name);
   ++own.heartbeat.number;
-  if (own.up && !own.unreachable && !own.silent) scope_.spawn(deliverHeartbeat(own.heartbeat));
+  if (own.up && !own.unresponsive && !own.heartbeatsStopped) scope_.spawn(deliver(own.heartbeat));
 }
 
 std::uint64_t ScriptedDatabases::statusCalls() const {
@@ -22,7 +22,7 @@
   return sum;
 }
 
-Task<void> ScriptedDatabases::deliverHeartbeat(DatabaseHeartbeat heartbeat) {
+Task<void> ScriptedDatabases::deliver(DatabaseHeartbeat heartbeat) {
   co_await deliver_(heartbeat);
 }
 
@@ -36,11 +36,11 @@
 Task<bool> ScriptedDatabases::answers(DatabaseName name, Instant deadline) {
   auto found = databases_.find(name);
   if (found == databases_.end()) co_return false;
-  if (found->second.unreachable)
+  if (found->second.unresponsive)
     co_await sleep(clock_, deadline - clock_.now());
   else
     co_await sleep(clock_, 1ms);
-  co_return found->second.up && !found->second.unreachable;
+  co_return found->second.up && !found->second.unresponsive;
 }
 
 Task<std::optional<DatabaseStanding>> ScriptedDatabases::status(DatabaseTarget target, Instant deadline) {
@@ -55,7 +55,7 @@
   if (!answered) co_return std::nullopt;
   auto& own = databases_[target.database];
   own.demotedWith.push_back(epoch);
-  if (own.heartbeat.role == "primary" && epoch > own.logEnd.epoch) {
+  if (own.heartbeat.role == "primary" && epoch > own.logPosition.epoch) {
     own.demotedAt = clock_.now();
     own.heartbeat.role = "replica";
     sendHeartbeat(target.database.get());
@@ -72,18 +72,18 @@
     co_await sleep(clock_, deadline - clock_.now());
   else
     co_await sleep(clock_, 5ms);
-  if (own.promotion == PromotionOutcome::accepted && own.leadsWhenAccepted) scope_.spawn(takeEffect(target.database));
+  if (own.promotion == PromotionOutcome::accepted && own.promotesWhenAccepted) scope_.spawn(becomePrimary(target.database));
   co_return own.promotion;
 }
 
-Task<void> ScriptedDatabases::takeEffect(DatabaseName name) {
+Task<void> ScriptedDatabases::becomePrimary(DatabaseName name) {
   co_await sleep(clock_, 300ms);
   auto& own = databases_[name];
   Epoch newest;
   for (const auto& [other, database] : databases_) newest = std::max(newest, database.term());
   if (own.heartbeat.role == "primary" && own.term() == newest) co_return;
   own.heartbeat.role = "primary";
-  own.logEnd.epoch = own.newestTerm = Epoch{newest.get() + 1};
+  own.logPosition.epoch = own.newestTerm = Epoch{newest.get() + 1};
   own.becamePrimaryAt = clock_.now();
   sendHeartbeat(name.get());
 }
--- a/tests/scripted_databases.hpp
+++ b/tests/scripted_databases.hpp
@@ -18,19 +18,19 @@
   struct Database {
     DatabaseHeartbeat heartbeat;
     /// Position of the last entry of its log.
-    LogPosition logEnd;
+    LogPosition logPosition;
     /// The newest term that it knows, if higher than the epoch of its log.
     Epoch newestTerm;
     /// False: the process is down; calls fail at once.
     bool up = true;
     /// Calls time out and no heartbeats arrive.
-    bool unreachable = false;
+    bool unresponsive = false;
     /// No heartbeats arrive; calls are answered.
-    bool silent = false;
+    bool heartbeatsStopped = false;
     /// Reply to a promote call.
     PromotionOutcome promotion = PromotionOutcome::accepted;
     /// Whether an accepted promotion takes effect.
-    bool leadsWhenAccepted = true;
+    bool promotesWhenAccepted = true;
     std::uint64_t statusCalls = 0;
     std::uint64_t promoteCalls = 0;
     std::vector<Epoch> demotedWith;
@@ -39,15 +39,15 @@
     Instant promoteCalledAt{};
     /// When a promotion last took effect.
     Instant becamePrimaryAt{};
-    Epoch term() const { return std::max(newestTerm, logEnd.epoch); }
+    Epoch term() const { return std::max(newestTerm, logPosition.epoch); }
   };
   using Deliver = std::function<Task<DoorReply>(DatabaseHeartbeat)>;
 
   ScriptedDatabases(Clock& clock, Deliver deliver) : clock_(clock), deliver_(std::move(deliver)) {}
   Database& at(const std::string& name) { return databases_.at(DatabaseName{name}); }
-  void add(const DatabaseHeartbeat& heartbeat, LogPosition logEnd);
+  void add(const DatabaseHeartbeat& heartbeat, LogPosition logPosition);
   /// Adds a database that never sent a heartbeat and answers no call.
-  void addUnreachable(const std::string& name) { databases_[DatabaseName{name}].unreachable = true; }
+  void addUnresponsive(const std::string& name) { databases_[DatabaseName{name}].unresponsive = true; }
   /// Sends a heartbeat now.
   void sendHeartbeat(const std::string& name);
   std::uint64_t statusCalls() const;
@@ -60,11 +60,11 @@
 
  private:
   Task<void> sendHeartbeats(DatabaseName name);
-  Task<void> takeEffect(DatabaseName name);
-  Task<void> deliverHeartbeat(DatabaseHeartbeat heartbeat);
+  Task<void> becomePrimary(DatabaseName name);
+  Task<void> deliver(DatabaseHeartbeat heartbeat);
   Task<bool> answers(DatabaseName name, Instant deadline);
   DatabaseStanding standing(const Database& database) const {
-    return DatabaseStanding{database.heartbeat.role, database.logEnd.epoch, database.logEnd.position, {}, database.term()};
+    return DatabaseStanding{database.heartbeat.role, database.logPosition.epoch, database.logPosition.position, {}, database.term()};
   }
 
   Clock& clock_;
