--- a/src/control/access_tables.cpp
+++ b/src/control/access_tables.cpp
@@ -73,12 +73,12 @@
   return found == databases_.end() ? nullptr : &found->second;
 }
 
-std::vector<DatabaseSign> AccessTables::signs(const ServiceName& service, Instant now) const {
-  std::vector<DatabaseSign> signs;
+std::vector<DatabaseReport> AccessTables::signs(const ServiceName& service, Instant now) const {
+  std::vector<DatabaseReport> signs;
   for (const auto& [key, held] : databases_)
     if (key.first == service)
-      signs.push_back(DatabaseSign{key.second.get(), held.heartbeat.role, held.heartbeat.epoch.get(), held.heartbeat.position.get(),
-                                   held.heartbeat.contactAge + (now - held.heardAt), now - held.heardAt, held.heartbeat.leaving});
+      signs.push_back(DatabaseReport{key.second.get(), held.heartbeat.role, held.heartbeat.epoch.get(), held.heartbeat.position.get(),
+                                     held.heartbeat.contactAge + (now - held.heardAt), now - held.heardAt, held.heartbeat.leaving});
   return signs;
 }
 
--- a/src/control/access_tables.hpp
+++ b/src/control/access_tables.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "control/access_messages.hpp"
-#include "news/news_messages.hpp"
+#include "updates/update_messages.hpp"
 
 namespace tamarindshift {
 
@@ -24,7 +24,7 @@
   bool noteHeartbeat(const DatabaseHeartbeat& heartbeat, Instant now, Duration silence);
   const std::map<Address, Node>& nodes() const { return nodes_; }
   const Database* database(const ServiceName& service, const DatabaseName& database) const;
-  std::vector<DatabaseSign> signs(const ServiceName& service, Instant now) const;
+  std::vector<DatabaseReport> signs(const ServiceName& service, Instant now) const;
   Place acknowledged(const ServiceName& service) const;
   void forgetNodesBefore(Instant before);
   Instant lastLost() const { return lastLost_; }
--- a/src/control/commit_search.cpp
+++ b/src/control/commit_search.cpp
@@ -21,10 +21,10 @@
     bool leaves = service.drained.contains(database);
     if (!standing) {
       if (!search.mayReturn) search.mayReturn = "database " + database.get() + " does not answer and may hold acknowledged commits";
-    } else if (standing->place() >= needed && !leaves) {
-      if (!search.holder || standing->place() > search.holder->standing.place())
+    } else if (standing->logEnd() >= needed && !leaves) {
+      if (!search.holder || standing->logEnd() > search.holder->standing.logEnd())
         search.holder = Candidate{database, *standing, std::nullopt};
-    } else if (standing->place() >= needed) {
+    } else if (standing->logEnd() >= needed) {
       search.mayReturn = "database " + database.get() + " leaves and holds acknowledged commits, its successor is awaited";
     }
   }
@@ -47,13 +47,13 @@
 
 // a replica that is no candidate and holds more than the chosen database, or may hold more and was not asked or is silent
 std::optional<DatabaseName> Duties::mayHoldMoreThan(const ServiceName& name, const std::vector<DatabaseName>& among, const Survey& survey,
-                                                    const DatabaseStanding& chosen) {
+                                                    const DatabaseStatus& chosen) {
   const auto& drained = state_.services().at(name).drained;
   for (const auto& database : otherReplicas(name, among)) {
     auto answer = survey.standings.find(database);
     if (answer == survey.standings.end()) return database;
     const auto& standing = answer->second;
-    bool mayHoldMore = standing ? standing->place() > chosen.place() : drained.contains(database) || diedWithPrimary(name, database);
+    bool mayHoldMore = standing ? standing->logEnd() > chosen.logEnd() : drained.contains(database) || diedWithPrimary(name, database);
     if (mayHoldMore) return database;
   }
   return awaitedPredecessor(name);
--- a/src/control/control_news.cpp
+++ b/src/control/control_news.cpp
@@ -23,18 +23,18 @@
 
 // what changes of one node costs one entry, however many routes the fleet's news hold
 void ControlState::publishNodes() {
-  std::vector<NewsChange> changes;
+  std::vector<TopicChange> changes;
   for (const auto& address : touchedNodes_) {
     auto node = nodes_.find(address);
     bool gone = node == nodes_.end();
-    changes.push_back(NewsChange{position_, nodePrefix + address.get(), gone, gone ? std::string{} : nodeNews(address, node->second)});
+    changes.push_back(TopicChange{position_, nodePrefix + address.get(), gone, gone ? std::string{} : nodeNews(address, node->second)});
   }
   touchedNodes_.clear();
   if (!changes.empty()) board_.publishChanges(fleetTopic, position_, std::move(changes));
 }
 
-NewsTable ControlState::fleetNews() const {
-  NewsTable fleet;
+TopicTable ControlState::fleetNews() const {
+  TopicTable fleet;
   for (const auto& [address, node] : nodes_) fleet[nodePrefix + address.get()] = nodeNews(address, node);
   FleetPlanNews fleetPlan;
   if (plan_) {
@@ -46,11 +46,11 @@
   return fleet;
 }
 
-NewsTable ControlState::news(const Topic& topic) const {
+TopicTable ControlState::news(const Topic& topic) const {
   if (topic == fleetTopic) return fleetNews();
   ServiceName name{topic};
   const auto* service = planned(name);
-  return service ? serviceNews(name, *service) : NewsTable{};
+  return service ? serviceNews(name, *service) : TopicTable{};
 }
 
 void ControlState::publish() {
@@ -61,9 +61,9 @@
   touched_.clear();
 }
 
-NewsTable ControlState::serviceNews(const ServiceName& name, const PlanService& service) const {
+TopicTable ControlState::serviceNews(const ServiceName& name, const PlanService& service) const {
   const auto& state = services_.at(name);
-  NewsTable table;
+  TopicTable table;
   ServiceNews news{plan_->mark, service, {}};
   for (const auto& [kindName, kind] : plan_->kinds)
     if (kind.service == name) news.kinds.emplace(kindName, kind);
--- a/src/control/control_state.hpp
+++ b/src/control/control_state.hpp
@@ -8,7 +8,7 @@
 #include "control/enrolled_database.hpp"
 #include "control/version_ledger.hpp"
 #include "engine/application.hpp"
-#include "news/news_board.hpp"
+#include "updates/update_store.hpp"
 
 namespace tamarindshift {
 
@@ -65,7 +65,7 @@
 
 class ControlState : public Application {
  public:
-  explicit ControlState(NewsBoard& board) : board_(board) {}
+  explicit ControlState(UpdateStore& board) : board_(board) {}
 
   std::string applyGreen(const Action& action, std::uint64_t position) override;
   std::string snapshot() const override;
@@ -109,16 +109,16 @@
   ServiceState* known(const ServiceName& service);
   void touch(const ServiceName& service) { touched_.insert(service.get()); }
   void touchAll();
-  NewsTable fleetNews() const;
+  TopicTable fleetNews() const;
   std::string nodeNews(const Address& address, const NodeState& node) const;
   void publishNodes();
-  NewsTable news(const Topic& topic) const;
-  NewsTable serviceNews(const ServiceName& name, const PlanService& service) const;
+  TopicTable news(const Topic& topic) const;
+  TopicTable serviceNews(const ServiceName& name, const PlanService& service) const;
   void publish();
 
   static constexpr std::size_t mostAwaitedSuccessors = 64;
 
-  NewsBoard& board_;
+  UpdateStore& board_;
   std::optional<Plan> plan_;
   std::string planText_;
   std::map<ServiceName, ServiceState> services_;
--- a/src/control/database_control.hpp
+++ b/src/control/database_control.hpp
@@ -4,7 +4,7 @@
 
 #include "base/address.hpp"
 #include "base/task.hpp"
-#include "pool/database_messages.hpp"
+#include "proxy/database_messages.hpp"
 
 namespace tamarindshift {
 
@@ -29,9 +29,9 @@
 class DatabaseControl {
  public:
   virtual ~DatabaseControl() = default;
-  virtual Task<std::optional<DatabaseStanding>> status(DatabaseTarget target, Instant deadline) = 0;
+  virtual Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) = 0;
   // turns a primary of an epoch below `epoch` into a replica; its last standing, or nothing
-  virtual Task<std::optional<DatabaseStanding>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) = 0;
+  virtual Task<std::optional<DatabaseStatus>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) = 0;
   virtual Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) = 0;
 };
 
--- a/src/control/duties.hpp
+++ b/src/control/duties.hpp
@@ -77,7 +77,7 @@
   };
   struct Candidate {
     DatabaseName database;
-    DatabaseStanding standing;
+    DatabaseStatus standing;
     std::optional<DatabaseName> mayHoldMore;
   };
 
@@ -100,7 +100,7 @@
   Task<void> care(ServiceName name);
   Task<void> careFor(ServiceName name);
   struct Survey {
-    std::map<DatabaseName, std::optional<DatabaseStanding>> standings;
+    std::map<DatabaseName, std::optional<DatabaseStatus>> standings;
     std::size_t missing = 0;
     Gate done;
   };
@@ -118,11 +118,10 @@
   Task<void> confirm(ServiceName name, ServiceState service, Epoch term);
   Task<void> callPromotion(ServiceName name, ServiceState service);
   Task<std::optional<Epoch>> leads(ServiceName name, ServiceState service, Instant calledAt);
-  Task<std::optional<DatabaseStanding>> reached(ServiceName name, ServiceState service, Place needed,
-                                                std::optional<DatabaseStanding> standing);
+  Task<std::optional<DatabaseStatus>> reached(ServiceName name, ServiceState service, Place needed, std::optional<DatabaseStatus> standing);
   Task<void> demote(ServiceName name, DatabaseName former);
   Task<void> demoteStray(ServiceName name);
-  Task<std::optional<DatabaseStanding>> status(ServiceName name, DatabaseName database, Duration patience);
+  Task<std::optional<DatabaseStatus>> status(ServiceName name, DatabaseName database, Duration patience);
   Task<void> ask(ServiceName name, DatabaseName database, std::shared_ptr<Survey> survey);
   std::vector<DatabaseName> candidates(const ServiceName& name, const std::optional<DatabaseName>& besides) const;
   Task<std::shared_ptr<Survey>> survey(ServiceName name, std::set<DatabaseName> databases);
@@ -130,7 +129,7 @@
   Task<CommitSearch> searchCommits(ServiceName name, Place needed);
   std::vector<DatabaseName> otherReplicas(const ServiceName& name, const std::vector<DatabaseName>& among) const;
   std::optional<DatabaseName> mayHoldMoreThan(const ServiceName& name, const std::vector<DatabaseName>& among, const Survey& survey,
-                                              const DatabaseStanding& chosen);
+                                              const DatabaseStatus& chosen);
   std::optional<DatabaseName> awaitedPredecessor(const ServiceName& name);
   Task<std::optional<Candidate>> candidate(ServiceName name, std::optional<DatabaseName> besides);
   using Orders = std::vector<std::pair<ControlMatter, std::string>>;
--- a/src/control/plan_news.cpp
+++ b/src/control/plan_news.cpp
@@ -12,13 +12,13 @@
 const std::string kindPrefix = "plan-kind/";
 
 template <class Value>
-std::optional<Value> valueAt(const NewsTable& table, const std::string& key) {
+std::optional<Value> valueAt(const TopicTable& table, const std::string& key) {
   auto found = table.find(key);
   return found == table.end() ? std::nullopt : unpacked<Value>(found->second);
 }
 
 template <class Value>
-std::map<KindName, Value> kindsIn(const NewsTable& table) {
+std::map<KindName, Value> kindsIn(const TopicTable& table) {
   std::map<KindName, Value> kinds;
   for (auto entry = table.lower_bound(kindPrefix); entry != table.end() && entry->first.starts_with(kindPrefix); ++entry)
     if (auto value = unpacked<Value>(entry->second)) kinds.emplace(KindName{entry->first.substr(kindPrefix.size())}, std::move(*value));
@@ -26,36 +26,36 @@
 }
 
 template <class Value>
-void layKinds(NewsTable& table, const std::map<KindName, Value>& kinds) {
+void layKinds(TopicTable& table, const std::map<KindName, Value>& kinds) {
   for (const auto& [name, kind] : kinds) table[kindPrefix + name.get()] = packed(kind);
 }
 
 }  // namespace
 
-void layPlan(NewsTable& table, const FleetPlanNews& plan) {
+void layPlan(TopicTable& table, const FleetPlanNews& plan) {
   table[markKey] = packed(plan.mark);
   table[limitsKey] = packed(plan.limits);
   layKinds(table, plan.kinds);
 }
 
-void layPlan(NewsTable& table, const ServiceNews& plan) {
+void layPlan(TopicTable& table, const ServiceNews& plan) {
   table[markKey] = packed(plan.mark);
   table[serviceKey] = packed(plan.service);
   layKinds(table, plan.kinds);
 }
 
-FleetPlanNews fleetPlanIn(const NewsTable& table) {
+FleetPlanNews fleetPlanIn(const TopicTable& table) {
   using Limits = std::map<std::string, std::uint64_t>;
   return FleetPlanNews{planMarkIn(table), kindsIn<ServiceName>(table), valueAt<Limits>(table, limitsKey).value_or(Limits{})};
 }
 
-std::optional<ServiceNews> servicePlanIn(const NewsTable& table) {
+std::optional<ServiceNews> servicePlanIn(const TopicTable& table) {
   auto service = valueAt<PlanService>(table, serviceKey);
   if (!service) return std::nullopt;
   return ServiceNews{planMarkIn(table), std::move(*service), kindsIn<PlanKind>(table)};
 }
 
-PlanMark planMarkIn(const NewsTable& table) {
+PlanMark planMarkIn(const TopicTable& table) {
   return valueAt<PlanMark>(table, markKey).value_or(PlanMark{});
 }
 
--- a/src/control/promotion_duties.cpp
+++ b/src/control/promotion_duties.cpp
@@ -40,7 +40,7 @@
   if (service.epoch != Epoch{} && reason != "primary says it is none") besides = service.primary;
   auto best = co_await candidate(name, besides);
   if (!best || !state_.services().contains(name)) co_return;
-  if (keepsAcknowledged(name) && !leaves && best->standing.place() < access_.acknowledged(name)) {
+  if (keepsAcknowledged(name) && !leaves && best->standing.logEnd() < access_.acknowledged(name)) {
     auto search = co_await searchCommits(name, access_.acknowledged(name));
     if (!state_.services().contains(name)) co_return;
     bool found = search.holder && search.holder->database != besides;
@@ -66,7 +66,7 @@
   auto& duty = duties_[name];
   if (standing->role == "primary" || duty.epoch != own) co_return;
   if (!duty.demotedAt) duty.demotedAt = clock_.now();
-  duty.finalPlace = std::max(duty.finalPlace, standing->place());
+  duty.finalPlace = std::max(duty.finalPlace, standing->logEnd());
 }
 
 Task<void> Duties::demoteStray(ServiceName name) {
@@ -158,11 +158,11 @@
 }
 
 // in a planned change the chosen database is asked again until it has what is needed, for a while
-Task<std::optional<DatabaseStanding>> Duties::reached(ServiceName name, ServiceState service, Place needed,
-                                                      std::optional<DatabaseStanding> standing) {
+Task<std::optional<DatabaseStatus>> Duties::reached(ServiceName name, ServiceState service, Place needed,
+                                                    std::optional<DatabaseStatus> standing) {
   auto deadline = clock_.now() + timings_.statusPatience;
   for (Duration pause = 30ms;; pause = pause * 3 / 2) {
-    bool waits = service.planned && standing && standing->place() < needed && clock_.now() < deadline && pending(name, service.epoch);
+    bool waits = service.planned && standing && standing->logEnd() < needed && clock_.now() < deadline && pending(name, service.epoch);
     if (!waits) co_return standing;
     co_await sleep(clock_, pause);
     standing = co_await status(name, service.primary, timings_.statusPatience);
@@ -188,14 +188,14 @@
     co_return false;
   }
   if (!keeps) {
-    if (standing->place() >= needed) co_return true;
+    if (standing->logEnd() >= needed) co_return true;
     wait(name, "the chosen database has not yet what the former primary held");
     co_return false;
   }
   auto best = this->best(name, among, *survey);
   if (!best) co_return false;
-  bool lacks = standing->place() < needed;
-  if (best->standing.place() > standing->place() && (lacks || mayLackReports(name, service))) {
+  bool lacks = standing->logEnd() < needed;
+  if (best->standing.logEnd() > standing->logEnd() && (lacks || mayLackReports(name, service))) {
     co_await chooseBetter(name);
     co_return false;
   }
--- a/src/control/promotion_proof.hpp
+++ b/src/control/promotion_proof.hpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "base/time.hpp"
-#include "pool/database_messages.hpp"
+#include "proxy/database_messages.hpp"
 
 namespace tamarindshift {
 
@@ -19,7 +19,7 @@
       : whenChosen_(whenChosen), lastLed_(lastLed), settledAt_(acceptedAt + effectWithin) {}
 
   /// Whether a STATUS that was asked for at `askedAt` shows that the database leads by this promotion.
-  bool shownBy(const DatabaseStanding& standing, Instant askedAt) const {
+  bool shownBy(const DatabaseStatus& standing, Instant askedAt) const {
     if (standing.role != "primary") return false;
     if (standing.term > std::max(whenChosen_, lastLed_)) return true;
     // the promotion of a database that leads already changes nothing, so its term does not rise
--- a/src/control/recovery_duties.cpp
+++ b/src/control/recovery_duties.cpp
@@ -182,7 +182,7 @@
   highest = std::max(highest, term);
 }
 
-Task<std::optional<DatabaseStanding>> Duties::status(ServiceName name, DatabaseName database, Duration patience) {
+Task<std::optional<DatabaseStatus>> Duties::status(ServiceName name, DatabaseName database, Duration patience) {
   auto found = target(name, database);
   if (!found) co_return std::nullopt;
   journal_.count("duties.status_calls");
@@ -238,8 +238,8 @@
       continue;
     }
     if (!access_.database(name, database)) continue;
-    auto rank = [](const DatabaseStanding& each) {
-      return std::pair(each.place(), each.role == "primary");
+    auto rank = [](const DatabaseStatus& each) {
+      return std::pair(each.logEnd(), each.role == "primary");
     };
     if (!best || rank(*standing) > rank(best->standing)) best = Candidate{database, *standing, std::nullopt};
   }
--- a/src/control/replica_node.cpp
+++ b/src/control/replica_node.cpp
@@ -25,7 +25,7 @@
   if (auto fault = core_.start()) return fault;
   duties_ = std::make_unique<Duties>(clock_, journal_, settings_.timings, engine(), state_, access_, databases_, core_.own(),
                                      settings_.losses, settings_.rations);
-  news_ = std::make_unique<NewsDesk>(clock_, desk_, board_, *this, settings_.timings.newsWait);
+  news_ = std::make_unique<UpdateServer>(clock_, desk_, board_, *this, settings_.timings.newsWait);
   serveDesk();
   scope_.spawn(watchDisk());
   return std::nullopt;
@@ -83,7 +83,7 @@
   return until;
 }
 
-std::vector<DatabaseSign> ReplicaNode::signs(const Topic& topic) {
+std::vector<DatabaseReport> ReplicaNode::databaseReports(const Topic& topic) {
   return access_.signs(ServiceName{topic}, clock_.now());
 }
 
--- a/src/control/replica_node.hpp
+++ b/src/control/replica_node.hpp
@@ -6,11 +6,11 @@
 #include "control/replica_settings.hpp"
 #include "edge/door.hpp"
 #include "engine/core.hpp"
-#include "news/news_desk.hpp"
+#include "updates/update_server.hpp"
 
 namespace tamarindshift {
 
-class ReplicaNode : public NewsSource {
+class ReplicaNode : public UpdateSource {
  public:
   ReplicaNode(Clock& clock, PeerLink& link, StableStore& store, DatabaseControl& databases, Journal& journal, ReplicaSettings settings,
               std::uint64_t incarnation);
@@ -24,7 +24,7 @@
   const AccessTables& access() const { return access_; }
   const Duties& duties() const { return *duties_; }
   const ReplicaSettings& settings() const { return settings_; }
-  const NewsBoard& board() const { return board_; }
+  const UpdateStore& board() const { return board_; }
   Journal& journal() { return journal_; }
 
   /// Orders a configuration and tells what became of it. Every verdict comes from the log, never from what this
@@ -45,8 +45,8 @@
   Task<DoorReply> removeMember(Address address);
 
   std::optional<Instant> leaseUntil(const Topic& topic) override;
-  std::vector<DatabaseSign> signs(const Topic& topic) override;
-  bool core() const override { return true; }
+  std::vector<DatabaseReport> databaseReports(const Topic& topic) override;
+  bool isReplica() const override { return true; }
   std::uint64_t position(const Topic&) override { return state_.position(); }
 
  private:
@@ -65,13 +65,13 @@
   DatabaseControl& databases_;
   Journal& journal_;
   ReplicaSettings settings_;
-  NewsBoard board_;
+  UpdateStore board_;
   ControlState state_;
   AccessTables access_;
   Desk desk_;
   Core core_;
   std::unique_ptr<Duties> duties_;
-  std::unique_ptr<NewsDesk> news_;
+  std::unique_ptr<UpdateServer> news_;
   std::size_t ordering_ = 0;
   std::optional<Instant> drainingSince_;
   std::optional<Instant> handedOverAt_;
--- a/src/edge/session_door.cpp
+++ b/src/edge/session_door.cpp
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 
 #include "edge/door_replies.hpp"
-#include "pool/database_json.hpp"
+#include "proxy/database_json.hpp"
 
 namespace tamarindshift {
 
@@ -12,9 +12,9 @@
 using Json = nlohmann::json;
 constexpr std::size_t mostBody = 1 << 20;
 
-const char* text(RequestFate fate) {
+const char* text(RequestOutcome outcome) {
   static constexpr const char* names[] = {"done", "failed", "refused", "unknown", "lost"};
-  return names[static_cast<int>(fate)];
+  return names[static_cast<int>(outcome)];
 }
 
 bool onlyKeys(const Json& json, std::initializer_list<const char*> allowed) {
@@ -71,10 +71,10 @@
     }
   }
   KindName kind{json["kind"].get<std::string>()};
-  auto view = proxy_.guide().kind(kind);
+  auto view = proxy_.directory().kind(kind);
   auto comeBack = proxy_.settings().timings.comeBack;
   if (!view.kind) {
-    if (view.refusal == "unknown kind of work" && proxy_.guide().anyLease()) return refusal(403, view.refusal);
+    if (view.refusal == "unknown kind of work" && proxy_.directory().anyLease()) return refusal(403, view.refusal);
     return refusal(503, view.refusal, {}, comeBack);
   }
   auto session = proxy_.openSession(kind, std::move(own), request.connection);
@@ -94,45 +94,46 @@
     for (const auto& parameter : json["parameters"])
       if (!parameter.is_string() && !parameter.is_null()) co_return refusal(400, "parameters must be a list of strings and nulls");
   }
-  auto operation = operationNamed(json.value("operation", "statement"));
+  auto operation = parseOperation(json.value("operation", "statement"));
   if (!operation) co_return refusal(400, "unknown operation");
   bool named = *operation == Operation::prepare || *operation == Operation::execute || *operation == Operation::set;
   if (named != json.contains("name")) co_return refusal(400, "prepare, execute and set, and only they, take a name");
   bool texted = *operation == Operation::statement || *operation == Operation::prepare || *operation == Operation::set;
   if (texted != json.contains("text")) co_return refusal(400, "statement, prepare and set, and only they, take a text");
-  json["operation"] = text(*operation);
+  json["operation"] = operationName(*operation);
   auto read = requestFromJson(json.dump());
   if (!read) co_return refusal(400, "malformed request");
-  session->door = request.connection;
+  session->clientConnection = request.connection;
   KindName kind{json.value("kind", session->kind.get())};
   auto reply = co_await proxy_.run(session, kind, std::move(*read));
-  Json body{{"outcome", text(reply.fate)}};
+  Json body{{"outcome", text(reply.outcome)}};
   if (!reply.reason.empty()) body["reason"] = reply.reason;
-  if (reply.fate == RequestFate::done || reply.fate == RequestFate::failed) {
+  if (reply.outcome == RequestOutcome::done || reply.outcome == RequestOutcome::failed) {
     body["result"] = reply.result;
     body["database"] = reply.database.get();
     body["position"] = reply.position.get();
   }
-  if (reply.comeBack) body["come_back_ms"] = milliseconds(*reply.comeBack).count();
-  co_return DoorReply{reply.status, body.dump(), reply.comeBack};
+  if (reply.retryAfter) body["come_back_ms"] = milliseconds(*reply.retryAfter).count();
+  co_return DoorReply{reply.status, body.dump(), reply.retryAfter};
 }
 
 DoorReply SessionDoor::status() const {
   Json json;
-  const auto& guide = proxy_.guide();
-  json["plan_mark"] = guide.planMark().get();
+  const auto& directory = proxy_.directory();
+  json["plan_mark"] = directory.planMark().get();
   json["sessions"] = proxy_.sessionCount();
-  json["underway"] = proxy_.requests().underway();
+  json["underway"] = proxy_.requests().inFlight();
   json["draining"] = proxy_.draining();
-  for (const auto& [name, view] : guide.services()) {
+  for (const auto& [name, view] : directory.services()) {
     auto& own = json["services"][name.get()];
     own = {{"epoch", view.primary.epoch.get()},
            {"primary", view.primary.primary.get()},
            {"promoted", view.primary.promoted},
-           {"leased", guide.leased(name)}};
+           {"leased", directory.leased(name)}};
     for (const auto& [branch, most] : view.share.most)
-      own["branches"][branch.get()] = {
-          {"share", most}, {"busy", proxy_.pool().busiest(name, branch)}, {"waiting", proxy_.requests().waitingOn(name, branch)}};
+      own["branches"][branch.get()] = {{"share", most},
+                                       {"busy", proxy_.pool().mostBusyOnOneDatabase(name, branch)},
+                                       {"waiting", proxy_.requests().waitingCount(name, branch)}};
     if (!view.plan) continue;
     for (const auto& [database, planned] : view.databases)
       own["connections"][database.get()] = proxy_.pool().openConnections(name, database);
--- a/src/edge/session_door.hpp
+++ b/src/edge/session_door.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "edge/door.hpp"
-#include "pool/proxy_node.hpp"
+#include "proxy/proxy_node.hpp"
 
 namespace tamarindshift {
 
@@ -9,7 +9,7 @@
  public:
   explicit SessionDoor(ProxyNode& proxy) : proxy_(proxy) {}
   Task<DoorReply> serve(DoorRequest request) override;
-  void gone(ConnectionId connection) override { proxy_.gone(connection); }
+  void gone(ConnectionId connection) override { proxy_.clientDisconnected(connection); }
 
  private:
   DoorReply open(const DoorRequest& request);
--- a/src/pooler/pooler.cpp
+++ b/src/pooler/pooler.cpp
@@ -4,7 +4,7 @@
 
 namespace tamarindshift {
 
-Pooler::Pooler(Clock& clock, Guide& guide, BackEnds& backEnds, Journal& journal, PoolerSettings settings, std::uint64_t boot,
+Pooler::Pooler(Clock& clock, ServiceDirectory& guide, BackEnds& backEnds, Journal& journal, PoolerSettings settings, std::uint64_t boot,
                Reports reports)
     : clock_(clock),
       guide_(guide),
@@ -158,7 +158,7 @@
   return std::nullopt;
 }
 
-std::uint32_t Pooler::allowed(const ServiceName& name, const Guide::ServiceView& view) const {
+std::uint32_t Pooler::allowed(const ServiceName& name, const ServiceDirectory::ServiceView& view) const {
   auto watch = watches_.find(name);
   if (watch == watches_.end() || clock_.now() - watch->second.leasedAt > settings_.timings.connectionsKept) return 0;
   std::uint32_t sum = 0;
@@ -327,7 +327,7 @@
   cared_.open();
 }
 
-void Pooler::careService(const ServiceName& name, const Guide::ServiceView& view) {
+void Pooler::careService(const ServiceName& name, const ServiceDirectory::ServiceView& view) {
   auto& watch = watches_[name];
   auto now = clock_.now();
   bool leased = guide_.leased(name);
--- a/src/pooler/pooler.hpp
+++ b/src/pooler/pooler.hpp
@@ -5,7 +5,7 @@
 #include "base/journal.hpp"
 #include "control/access_messages.hpp"
 #include "control/plan_version_check.hpp"
-#include "pool/guide.hpp"
+#include "proxy/service_directory.hpp"
 #include "pooler/answer_check.hpp"
 #include "pooler/back_end_pool.hpp"
 #include "pooler/demand_table.hpp"
@@ -24,7 +24,8 @@
  public:
   using Reports = std::function<void(NodeReport)>;
 
-  Pooler(Clock& clock, Guide& guide, BackEnds& backEnds, Journal& journal, PoolerSettings settings, std::uint64_t boot, Reports reports);
+  Pooler(Clock& clock, ServiceDirectory& guide, BackEnds& backEnds, Journal& journal, PoolerSettings settings, std::uint64_t boot,
+         Reports reports);
 
   // nothing, with the fault and reason left in `refusal`, where no session can be had
   std::shared_ptr<ClientSession> open(const std::string& host, StatementReply& refusal);
@@ -64,7 +65,7 @@
   struct Route {
     KindName name;
     const PlanKind* kind = nullptr;
-    const Guide::ServiceView* service = nullptr;
+    const ServiceDirectory::ServiceView* service = nullptr;
   };
   struct Acquired {
     std::shared_ptr<PooledBackEnd> connection;
@@ -80,10 +81,10 @@
   void care();
   // whether an epoch is seen and work of the one before still runs
   bool changing() const;
-  void careService(const ServiceName& name, const Guide::ServiceView& view);
-  nlohmann::json serviceStatus(const ServiceName& name, const Guide::ServiceView& view) const;
+  void careService(const ServiceName& name, const ServiceDirectory::ServiceView& view);
+  nlohmann::json serviceStatus(const ServiceName& name, const ServiceDirectory::ServiceView& view) const;
   /// What keeps a service from serving at its primary now, in words.
-  std::vector<std::string> hindrances(const ServiceName& name, const Guide::ServiceView& view) const;
+  std::vector<std::string> hindrances(const ServiceName& name, const ServiceDirectory::ServiceView& view) const;
   /// The same for a statement that waits, short enough for a reply.
   std::string whyWaiting(const Demand& demand) const;
   Task<StatementReply> runStatement(Session session, Statement statement);
@@ -126,8 +127,8 @@
   void serve();
   void serveOne(const DemandTable::Record& demand);
   // whether work of this order must wait, since earlier orders have the crowded database's connections
-  bool rationed(const Guide::ServiceView& view, const DatabaseName& database, std::uint32_t order) const;
-  bool anyRationed(const Guide::ServiceView& view, const Demand& demand) const;
+  bool rationed(const ServiceDirectory::ServiceView& view, const DatabaseName& database, std::uint32_t order) const;
+  bool anyRationed(const ServiceDirectory::ServiceView& view, const Demand& demand) const;
   void noteDemands();
   std::vector<DatabaseName> candidates(const Demand& demand, const Route& route, std::optional<Place>& after) const;
   bool mayPass(const Connection& connection, const KindName& kind, bool inTransaction) const;
@@ -139,7 +140,7 @@
   void noteOwn(ClientSession& session, const Connection& connection, const BackEndReply& reply);
   void failTransaction(ClientSession& session);
   // how many connections may be held to a database of the service, and whether one more fits
-  std::uint32_t allowed(const ServiceName& name, const Guide::ServiceView& view) const;
+  std::uint32_t allowed(const ServiceName& name, const ServiceDirectory::ServiceView& view) const;
   bool fits(const DatabaseTarget& target) const;
   Duration statementBound(const KindName& kind) const;
   // how long work that may be done again is waited for, from what such work usually takes
@@ -147,7 +148,7 @@
   void noteTaken(const KindName& kind, Duration taken);
 
   Clock& clock_;
-  Guide& guide_;
+  ServiceDirectory& guide_;
   Journal& journal_;
   PoolerSettings settings_;
   std::uint64_t boot_;
--- a/src/pooler/pooler_serving.cpp
+++ b/src/pooler/pooler_serving.cpp
@@ -64,14 +64,14 @@
   }
 }
 
-bool Pooler::rationed(const Guide::ServiceView& view, const DatabaseName& database, std::uint32_t order) const {
+bool Pooler::rationed(const ServiceDirectory::ServiceView& view, const DatabaseName& database, std::uint32_t order) const {
   auto ration = view.rations.find(database);
   if (ration == view.rations.end() || order <= ration->second.freeThrough) return false;
   const auto* shelf = pool_.find(database);
   return (shelf ? shelf->busyAfter(ration->second.freeThrough) : 0) >= ration->second.laterAt(settings_.node);
 }
 
-bool Pooler::anyRationed(const Guide::ServiceView& view, const Demand& demand) const {
+bool Pooler::anyRationed(const ServiceDirectory::ServiceView& view, const Demand& demand) const {
   return std::any_of(view.rations.begin(), view.rations.end(), [&](const auto& each) {
     return (!demand.atPrimary || each.first == view.primary.primary) && rationed(view, each.first, demand.order);
   });
--- a/src/pooler/pooler_status.cpp
+++ b/src/pooler/pooler_status.cpp
@@ -47,7 +47,7 @@
   return json;
 }
 
-std::vector<std::string> Pooler::hindrances(const ServiceName& name, const Guide::ServiceView& view) const {
+std::vector<std::string> Pooler::hindrances(const ServiceName& name, const ServiceDirectory::ServiceView& view) const {
   std::vector<std::string> found;
   const auto& primary = view.primary;
   const auto* shelf = pool_.find(primary.primary);
@@ -66,14 +66,14 @@
   return found;
 }
 
-Json Pooler::serviceStatus(const ServiceName& name, const Guide::ServiceView& view) const {
+Json Pooler::serviceStatus(const ServiceName& name, const ServiceDirectory::ServiceView& view) const {
   auto now = clock_.now();
   const auto& primary = view.primary;
   Json own{
       {"epoch", primary.epoch.get()}, {"primary", primary.primary.get()}, {"promoted", primary.promoted}, {"share", allowed(name, view)}};
   auto lease = guide_.leaseUntil(name);
   own["lease_ms"] = lease ? milliseconds(*lease - now).count() : 0;
-  if (auto reason = guide_.shareless(name)) own["shareless"] = *reason;
+  if (auto reason = guide_.missingShareReason(name)) own["shareless"] = *reason;
   if (auto waits = hindrances(name, view); !waits.empty()) own["waits"] = waits;
   own["databases"] = Json::object();
   for (const auto& [database, news] : view.databases) {
--- a/src/programs/agent.cpp
+++ b/src/programs/agent.cpp
@@ -1,5 +1,5 @@
 #include "base/timing_settings.hpp"
-#include "news/agent_node.hpp"
+#include "updates/agent_node.hpp"
 #include "real/daemon.hpp"
 #include "real/tcp_link.hpp"
 
--- a/src/programs/replica.cpp
+++ b/src/programs/replica.cpp
@@ -1,6 +1,6 @@
 #include "base/timing_settings.hpp"
 #include "control/operator_door.hpp"
-#include "pool/json_database_control.hpp"
+#include "proxy/json_database_control.hpp"
 #include "real/daemon.hpp"
 #include "real/file_store.hpp"
 #include "real/tcp_link.hpp"
--- a/src/pool/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "pool/connection_pool.hpp"
+#include "proxy/connection_pool.hpp"
 
 #include <algorithm>
 
@@ -17,13 +17,13 @@
   journal_.count("pool.closed");
 }
 
-std::uint32_t ConnectionPool::allowed(const Guide::ServiceView& view) {
+std::uint32_t ConnectionPool::allowed(const ServiceDirectory::ServiceView& view) {
   std::uint32_t sum = 0;
   for (const auto& [branch, most] : view.share.most) sum += most;
   return sum;
 }
 
-std::uint32_t ConnectionPool::allowed(const Guide::ServiceView& view, const BranchName& branch) {
+std::uint32_t ConnectionPool::allowed(const ServiceDirectory::ServiceView& view, const BranchName& branch) {
   auto found = view.share.most.find(branch);
   return found == view.share.most.end() ? 0 : found->second;
 }
@@ -35,7 +35,7 @@
   return found == shelf->second.busy.end() ? 0 : found->second;
 }
 
-std::uint32_t ConnectionPool::busiest(const ServiceName& service, const BranchName& branch) const {
+std::uint32_t ConnectionPool::mostBusyOnOneDatabase(const ServiceName& service, const BranchName& branch) const {
   std::uint32_t most = 0;
   for (const auto& [key, shelf] : shelves_)
     if (key.first == service) most = std::max(most, busy(service, key.second, branch));
@@ -52,7 +52,7 @@
   return shelf == shelves_.end() ? 0 : shelf->second.total() - static_cast<std::uint32_t>(shelf->second.idle.size());
 }
 
-bool ConnectionPool::mayHold(const Guide::ServiceView& view, const ServiceName& service, const DatabaseName& database,
+bool ConnectionPool::mayHold(const ServiceDirectory::ServiceView& view, const ServiceName& service, const DatabaseName& database,
                              const BranchName& branch) const {
   return busy(service, database, branch) < allowed(view, branch);
 }
@@ -77,7 +77,7 @@
   return nullptr;
 }
 
-bool ConnectionPool::mayOpen(const Guide::ServiceView& view, const ServiceName& service, const DatabaseName& database) {
+bool ConnectionPool::mayOpen(const ServiceDirectory::ServiceView& view, const ServiceName& service, const DatabaseName& database) {
   auto& shelf = shelves_[{service, database}];
   auto most = shelf.openPause > Duration::zero() ? 1 : mostOpening;
   return shelf.total() < allowed(view) && shelf.opening < most && clock_.now() >= shelf.openAfter;
@@ -143,14 +143,14 @@
     if (connection->service == service && connection->running && connection->epoch < epoch && !connection->doomed) drop(connection);
 }
 
-void ConnectionPool::closeAllBesides(const std::map<ServiceName, Guide::ServiceView>& services) {
+void ConnectionPool::closeAllBesides(const std::map<ServiceName, ServiceDirectory::ServiceView>& services) {
   std::set<ServiceName> gone;
   for (const auto& [key, shelf] : shelves_)
     if (!services.contains(key.first)) gone.insert(key.first);
   for (const auto& service : gone) closeAll(service);
 }
 
-void ConnectionPool::trim(const ServiceName& service, const Guide::ServiceView& view) {
+void ConnectionPool::trim(const ServiceName& service, const ServiceDirectory::ServiceView& view) {
   auto most = allowed(view);
   for (auto& [key, shelf] : shelves_) {
     if (key.first != service) continue;
@@ -169,7 +169,8 @@
   }
 }
 
-std::vector<std::shared_ptr<PooledConnection>> ConnectionPool::surplus(const ServiceName& service, const Guide::ServiceView& view) const {
+std::vector<std::shared_ptr<PooledConnection>> ConnectionPool::surplus(const ServiceName& service,
+                                                                       const ServiceDirectory::ServiceView& view) const {
   std::vector<std::shared_ptr<PooledConnection>> surplus;
   std::map<std::pair<DatabaseName, BranchName>, std::uint32_t> seen;
   for (bool running : {true, false})
@@ -180,7 +181,7 @@
   return surplus;
 }
 
-bool ConnectionPool::within(const ServiceName& service, const Guide::ServiceView& view) const {
+bool ConnectionPool::within(const ServiceName& service, const ServiceDirectory::ServiceView& view) const {
   for (const auto& [key, shelf] : shelves_) {
     if (key.first != service) continue;
     if (shelf.total() > allowed(view)) return false;
@@ -190,7 +191,8 @@
   return true;
 }
 
-bool ConnectionPool::rebook(const std::shared_ptr<PooledConnection>& connection, const Guide::ServiceView& view, const BranchName& branch) {
+bool ConnectionPool::rebook(const std::shared_ptr<PooledConnection>& connection, const ServiceDirectory::ServiceView& view,
+                            const BranchName& branch) {
   if (!mayHold(view, connection->service, connection->database, branch)) return false;
   auto& shelf = shelves_[{connection->service, connection->database}];
   --shelf.busy[connection->branch];
--- a/src/pool/database_json.cpp
+++ b/src/proxy/database_json.cpp
@@ -1,4 +1,4 @@
-#include "pool/database_json.hpp"
+#include "proxy/database_json.hpp"
 
 #include <array>
 
@@ -13,17 +13,17 @@
 using Json = nlohmann::json;
 constexpr std::array<const char*, 7> operationNames{"statement", "begin", "commit", "rollback", "prepare", "execute", "set"};
 
-Json standingJson(const DatabaseStanding& standing) {
+Json standingJson(const DatabaseStatus& standing) {
   return Json{{"role", standing.role},
               {"epoch", standing.epoch.get()},
               {"position", standing.position.get()},
               {"contact_age_ms", milliseconds(standing.contactAge).count()}};
 }
 
-DatabaseStanding standingOf(const Json& json) {
+DatabaseStatus standingOf(const Json& json) {
   Epoch epoch{wholeNumber(json.at("epoch"))};
-  return DatabaseStanding{json.at("role").get<std::string>(), epoch, Position{wholeNumber(json.at("position"))},
-                          std::chrono::milliseconds{std::min(wholeNumber(json.at("contact_age_ms")), mostAge)}, epoch};
+  return DatabaseStatus{json.at("role").get<std::string>(), epoch, Position{wholeNumber(json.at("position"))},
+                        std::chrono::milliseconds{std::min(wholeNumber(json.at("contact_age_ms")), mostAge)}, epoch};
 }
 
 template <class Reader>
@@ -37,11 +37,11 @@
 
 }  // namespace
 
-const char* text(Operation operation) {
+const char* operationName(Operation operation) {
   return operationNames[static_cast<std::size_t>(operation)];
 }
 
-std::optional<Operation> operationNamed(const std::string& name) {
+std::optional<Operation> parseOperation(const std::string& name) {
   for (std::size_t index = 0; index < operationNames.size(); ++index)
     if (name == operationNames[index]) return static_cast<Operation>(index);
   return std::nullopt;
@@ -50,7 +50,7 @@
 std::string requestToJson(const DatabaseRequest& request) {
   Json parameters = Json::array();
   for (const auto& parameter : request.parameters) parameters.push_back(parameter ? Json(*parameter) : Json(nullptr));
-  Json json{{"operation", text(request.operation)}, {"text", request.text}, {"reads", request.reads}};
+  Json json{{"operation", operationName(request.operation)}, {"text", request.text}, {"reads", request.reads}};
   if (!request.name.empty()) json["name"] = request.name;
   if (!parameters.empty()) json["parameters"] = parameters;
   return json.dump();
@@ -59,7 +59,7 @@
 std::optional<DatabaseRequest> requestFromJson(const std::string& body) {
   return guarded(body, [](const Json& json) {
     DatabaseRequest request;
-    auto operation = operationNamed(json.at("operation").get<std::string>());
+    auto operation = parseOperation(json.at("operation").get<std::string>());
     request.operation = operation.value_or(Operation::statement);
     request.text = json.value("text", "");
     request.name = json.value("name", "");
@@ -74,28 +74,28 @@
   Json json{{"done", reply.done}, {"result", reply.result}, {"standing", standingJson(reply.standing)}};
   if (!reply.reason.empty()) json["reason"] = reply.reason;
   if (!reply.replicated) json["replicated"] = false;
-  if (reply.keptAt != Position{}) json["kept_at"] = reply.keptAt.get();
+  if (reply.commitPosition != Position{}) json["kept_at"] = reply.commitPosition.get();
   return json.dump();
 }
 
 std::optional<DatabaseReply> replyFromJson(const std::string& body) {
   return guarded(body, [](const Json& json) {
     auto standing = standingOf(json.at("standing"));
-    Position keptAt{json.contains("kept_at") ? wholeNumber(json["kept_at"]) : standing.position.get()};
+    Position commitPosition{json.contains("kept_at") ? wholeNumber(json["kept_at"]) : standing.position.get()};
     return DatabaseReply{json.at("done").get<bool>(),
                          json.value("replicated", true),
                          json.value("reason", ""),
                          json.at("result").get<std::string>(),
                          standing,
-                         keptAt};
+                         commitPosition};
   });
 }
 
-std::string standingToJson(const DatabaseStanding& standing) {
+std::string statusToJson(const DatabaseStatus& standing) {
   return standingJson(standing).dump();
 }
 
-std::optional<DatabaseStanding> standingFromJson(const std::string& body) {
+std::optional<DatabaseStatus> statusFromJson(const std::string& body) {
   return guarded(body, [](const Json& json) {
     return standingOf(json);
   });
--- a/src/pool/database_link.hpp
+++ b/src/proxy/database_link.hpp
@@ -1,11 +1,11 @@
 #pragma once
 
 #include "edge/web_link.hpp"
-#include "pool/database_messages.hpp"
+#include "proxy/database_messages.hpp"
 
 namespace tamarindshift {
 
-struct PassOutcome {
+struct DatabaseOutcome {
   PassFate fate = PassFate::unsent;
   DatabaseReply reply;
 };
@@ -13,7 +13,7 @@
 class DatabaseConnection {
  public:
   explicit DatabaseConnection(std::unique_ptr<WebConnection> web) : web_(std::move(web)) {}
-  Task<PassOutcome> run(DatabaseRequest request, Instant deadline);
+  Task<DatabaseOutcome> run(DatabaseRequest request, Instant deadline);
   bool usable() const { return web_->usable(); }
   void close() { web_->close(); }
 
--- a/src/pool/database_messages.hpp
+++ b/src/proxy/database_messages.hpp
@@ -17,10 +17,10 @@
   std::vector<std::optional<std::string>> parameters;
   bool reads = false;
   /// Whether it may keep something at the database.
-  bool keeps() const { return !reads; }
+  bool mayWrite() const { return !reads; }
 };
 
-struct DatabaseStanding {
+struct DatabaseStatus {
   std::string role;
   /// The epoch of the last entry of its log.
   Epoch epoch;
@@ -29,7 +29,7 @@
   /// The newest term that it knows of; a promotion raises it.
   Epoch term{};
   /// Where its log ends.
-  Place place() const { return Place{epoch, position}; }
+  Place logEnd() const { return Place{epoch, position}; }
 };
 
 struct DatabaseReply {
@@ -37,8 +37,8 @@
   bool replicated = true;
   std::string reason;
   std::string result;
-  DatabaseStanding standing;
-  Position keptAt;
+  DatabaseStatus standing;
+  Position commitPosition;
 };
 
 }  // namespace tamarindshift
--- a/src/pool/json_database_control.cpp
+++ b/src/proxy/json_database_control.cpp
@@ -1,26 +1,26 @@
-#include "pool/json_database_control.hpp"
+#include "proxy/json_database_control.hpp"
 
 #include <nlohmann/json.hpp>
 
-#include "pool/database_json.hpp"
+#include "proxy/database_json.hpp"
 
 namespace tamarindshift {
 
 namespace {
 
-std::optional<DatabaseStanding> standingOf(const std::optional<WebOutcome>& outcome) {
+std::optional<DatabaseStatus> standingOf(const std::optional<WebOutcome>& outcome) {
   if (!outcome || outcome->status != 200) return std::nullopt;
-  return standingFromJson(outcome->body);
+  return statusFromJson(outcome->body);
 }
 
 }  // namespace
 
-Task<std::optional<DatabaseStanding>> JsonDatabaseControl::status(DatabaseTarget target, Instant deadline) {
+Task<std::optional<DatabaseStatus>> JsonDatabaseControl::status(DatabaseTarget target, Instant deadline) {
   auto outcome = co_await web_.call(target.address, "GET", "/status", {}, deadline);
   co_return standingOf(outcome);
 }
 
-Task<std::optional<DatabaseStanding>> JsonDatabaseControl::demote(DatabaseTarget target, Epoch epoch, Instant deadline) {
+Task<std::optional<DatabaseStatus>> JsonDatabaseControl::demote(DatabaseTarget target, Epoch epoch, Instant deadline) {
   nlohmann::json body{{"epoch", epoch.get()}};
   auto outcome = co_await web_.call(target.address, "POST", "/demote", body.dump(), deadline);
   co_return standingOf(outcome);
--- a/src/pool/json_database_control.hpp
+++ b/src/proxy/json_database_control.hpp
@@ -10,8 +10,8 @@
   JsonDatabaseControl(WebLink& web, Address platform) : web_(web), platform_(std::move(platform)) {}
   void change(Address platform) { platform_ = std::move(platform); }
 
-  Task<std::optional<DatabaseStanding>> status(DatabaseTarget target, Instant deadline) override;
-  Task<std::optional<DatabaseStanding>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override;
+  Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) override;
+  Task<std::optional<DatabaseStatus>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override;
   Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) override;
 
  private:
--- a/src/pool/pooled_connection.hpp
+++ b/src/proxy/pooled_connection.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "pool/database_link.hpp"
+#include "proxy/database_link.hpp"
 
 namespace tamarindshift {
 
--- a/src/pool/proxy_node.cpp
+++ b/src/proxy/proxy_node.cpp
@@ -1,4 +1,4 @@
-#include "pool/proxy_node.hpp"
+#include "proxy/proxy_node.hpp"
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
           [this] {
             return std::optional{settings_.node};
           }),
-      guide_(clock, feed_, settings_.node, boot_),
+      directory_(clock, feed_, settings_.node, boot_),
       pool_(clock, databases, journal) {
   scope_.spawn(work());
   scope_.spawn(tick());
@@ -38,7 +38,7 @@
   for (;;) {
     co_await sleep(clock_, 20ms);
     queue_.put([this] {
-      guide_.refresh();
+      directory_.refresh();
       careServices();
       careBusy();
       careIdleSessions();
@@ -65,8 +65,8 @@
   report.node = settings_.node;
   report.boot = boot_;
   report.draining = draining();
-  report.mark = guide_.planMark();
-  for (const auto& [name, view] : guide_.services()) {
+  report.mark = directory_.planMark();
+  for (const auto& [name, view] : directory_.services()) {
     if (!view.plan) continue;
     auto& own = report.services[name];
     own.followed = followed_[name];
@@ -75,10 +75,10 @@
     own.working = now - workedAt_[name] < settings_.timings.suspicionKept;
     for (const auto& [database, unreached] : unreached_[name])
       if (unreached.attempts > 1 && now - unreached.at < settings_.timings.suspicionKept) own.suspects.insert(database);
-    if (auto until = guide_.leaseUntil(name)) report.lease = std::max(report.lease, *until - now);
+    if (auto until = directory_.leaseUntil(name)) report.lease = std::max(report.lease, *until - now);
     for (const auto& [branch, planned] : view.plan->service.branches) {
-      auto held = pool_.busiest(name, branch);
-      auto wants = static_cast<double>(held + requests_.waitingOn(name, branch));
+      auto held = pool_.mostBusyOnOneDatabase(name, branch);
+      auto wants = static_cast<double>(held + requests_.waitingCount(name, branch));
       auto& demand = demand_[{name, branch}];
       demand = std::max(wants, demand * 0.974);
       own.wanted[branch] = draining() ? 0 : static_cast<std::uint32_t>(demand + 1.5);
@@ -94,7 +94,7 @@
     const auto& [name, own] = each;
     auto before = reported_.services.find(name);
     if (before == reported_.services.end()) return true;
-    const auto& share = guide_.service(name)->share.most;
+    const auto& share = directory_.service(name)->share.most;
     bool shorter = std::any_of(own.wanted.begin(), own.wanted.end(), [&](const auto& want) {
       auto granted = share.find(want.first);
       auto told = before->second.wanted.find(want.first);
@@ -117,13 +117,13 @@
   placePass();
 }
 
-std::shared_ptr<Session> ProxyNode::openSession(const KindName& kind, std::map<ServiceName, Position> own, ConnectionId door) {
+std::shared_ptr<Session> ProxyNode::openSession(const KindName& kind, std::map<ServiceName, Position> own, ConnectionId clientConnection) {
   if (draining() || sessions_.size() >= settings_.sessions) return nullptr;
   auto session = std::make_shared<Session>();
   session->id = SessionId{std::to_string(boot_ % 1000000) + "-" + std::to_string(++lastSession_)};
   session->kind = kind;
   session->own = std::move(own);
-  session->door = door;
+  session->clientConnection = clientConnection;
   session->usedAt = clock_.now();
   sessions_[session->id] = session;
   journal_.count("sessions.opened");
@@ -141,9 +141,9 @@
   dropPin(session);
 }
 
-void ProxyNode::gone(ConnectionId door) {
+void ProxyNode::clientDisconnected(ConnectionId clientConnection) {
   for (const auto& [id, session] : sessions_)
-    if (session->door == door && (session->inTransaction || session->busy)) {
+    if (session->clientConnection == clientConnection && (session->inTransaction || session->busy)) {
       journal_.count("sessions.walked_away");
       session->left = session->busy;
       if (session->inTransaction) session->transactionLost = true;
@@ -184,7 +184,7 @@
     if (connection->doomed) continue;
     auto session = connection->pinnedBy.lock();
     bool pinned = session && session->pinned == connection && !connection->running;
-    const auto* service = guide_.service(connection->service);
+    const auto* service = directory_.service(connection->service);
     bool fits = service && service->plan && !misfit(connection->kind, *connection);
     if (fits && pinned) {
       const auto& branch = service->plan->kinds.at(connection->kind).branch;
@@ -196,7 +196,7 @@
       connection->misfitSince = now;
     bool late = connection->misfitSince && now - *connection->misfitSince > settings_.timings.planGrace();
     if (pinned && !late) {
-      late = !service || !guide_.leased(connection->service) || service->primary.epoch != connection->epoch ||
+      late = !service || !directory_.leased(connection->service) || service->primary.epoch != connection->epoch ||
              leavesTooLate(*connection, session->inTransaction) ||
              (draining() && now - *drainingSince_ > settings_.timings.stopTransactions) ||
              (session->inTransaction && now - session->usedAt > settings_.idleInTransaction);
@@ -212,7 +212,7 @@
   for (const auto& session : idle) closeSession(session);
 }
 
-void ProxyNode::careSurplus(const ServiceName& name, const Guide::ServiceView& view) {
+void ProxyNode::careSurplus(const ServiceName& name, const ServiceDirectory::ServiceView& view) {
   if (pool_.within(name, view)) {
     followed_[name] = view.mark;
     surplusSince_.erase(name);
@@ -226,9 +226,9 @@
 }
 
 void ProxyNode::careServices() {
-  pool_.closeAllBesides(guide_.services());
-  for (const auto& [name, view] : guide_.services()) {
-    if (!guide_.leased(name)) {
+  pool_.closeAllBesides(directory_.services());
+  for (const auto& [name, view] : directory_.services()) {
+    if (!directory_.leased(name)) {
       pool_.closeAll(name);
       continue;
     }
@@ -248,7 +248,7 @@
   if (!drainingSince_) return false;
   auto since = clock_.now() - *drainingSince_;
   if (since > settings_.timings.stop) return true;
-  if (requests_.underway() > 0 || since < 8 * settings_.timings.reportPause) return false;
+  if (requests_.inFlight() > 0 || since < 8 * settings_.timings.reportPause) return false;
   for (const auto& [id, session] : sessions_)
     if (session->inTransaction) return false;
   return true;
@@ -256,11 +256,11 @@
 
 std::optional<std::string> ProxyNode::notReady() const {
   if (draining()) return "this node is leaving";
-  if (!guide_.anyLease()) return "no current lease";
-  if (guide_.planMark() == PlanMark{}) return "no plan";
-  for (const auto& [name, view] : guide_.services())
-    if (!guide_.leased(name) || view.share.most.empty()) return "no share of service " + name.get() + " yet";
-  if (guide_.services().empty()) return "no news of any service";
+  if (!directory_.anyLease()) return "no current lease";
+  if (directory_.planMark() == PlanMark{}) return "no plan";
+  for (const auto& [name, view] : directory_.services())
+    if (!directory_.leased(name) || view.share.most.empty()) return "no share of service " + name.get() + " yet";
+  if (directory_.services().empty()) return "no news of any service";
   return std::nullopt;
 }
 
--- a/src/pool/proxy_node.hpp
+++ b/src/proxy/proxy_node.hpp
@@ -2,10 +2,10 @@
 
 #include "base/queue.hpp"
 #include "control/access_messages.hpp"
-#include "news/news_follower.hpp"
-#include "pool/connection_pool.hpp"
-#include "pool/proxy_settings.hpp"
-#include "pool/request_table.hpp"
+#include "updates/update_follower.hpp"
+#include "proxy/connection_pool.hpp"
+#include "proxy/proxy_settings.hpp"
+#include "proxy/request_table.hpp"
 
 namespace tamarindshift {
 
@@ -13,18 +13,18 @@
  public:
   ProxyNode(Clock& clock, PeerLink& link, WebLink& databases, Journal& journal, ProxySettings settings, std::uint64_t entropy);
 
-  std::shared_ptr<Session> openSession(const KindName& kind, std::map<ServiceName, Position> own, ConnectionId door);
+  std::shared_ptr<Session> openSession(const KindName& kind, std::map<ServiceName, Position> own, ConnectionId clientConnection);
   std::shared_ptr<Session> session(const SessionId& id) const;
   void closeSession(const std::shared_ptr<Session>& session);
   Task<RequestReply> run(std::shared_ptr<Session> session, KindName kind, DatabaseRequest request);
-  void gone(ConnectionId door);
+  void clientDisconnected(ConnectionId clientConnection);
 
   void change(ProxySettings settings) { settings_ = std::move(settings); }
   void drain();
   bool draining() const { return drainingSince_.has_value(); }
   bool stopped() const;
   std::optional<std::string> notReady() const;
-  const Guide& guide() const { return guide_; }
+  const ServiceDirectory& directory() const { return directory_; }
   const ConnectionPool& pool() const { return pool_; }
   const RequestTable& requests() const { return requests_; }
   std::size_t sessionCount() const { return sessions_.size(); }
@@ -50,11 +50,11 @@
   void placePass();
   void placeOne(const Record& record);
   void placePinned(const Record& record);
-  std::optional<Choice> choose(const Record& record, const Guide::KindView& view, std::string& refusal) const;
-  std::optional<Choice> chooseReplica(const Record& record, const Guide::KindView& view) const;
+  std::optional<Choice> choose(const Record& record, const ServiceDirectory::KindView& view, std::string& refusal) const;
+  std::optional<Choice> chooseReplica(const Record& record, const ServiceDirectory::KindView& view) const;
   Task<void> passOn(Record record, std::shared_ptr<PooledConnection> connection, Choice choice);
   bool mayPass(const Record& record, const PooledConnection& connection) const;
-  void settle(const Record& record, const std::shared_ptr<PooledConnection>& connection, PassOutcome outcome);
+  void settle(const Record& record, const std::shared_ptr<PooledConnection>& connection, DatabaseOutcome outcome);
   void settleReplied(const Record& record, const std::shared_ptr<PooledConnection>& connection, DatabaseReply reply);
   void settleLost(const Record& record, const std::shared_ptr<PooledConnection>& connection, bool sent);
   void retire(const Record& record, const std::shared_ptr<PooledConnection>& connection);
@@ -68,7 +68,7 @@
   bool leavesTooLate(const PooledConnection& connection, bool inTransaction) const;
   void careBusy();
   void careIdleSessions();
-  void careSurplus(const ServiceName& name, const Guide::ServiceView& view);
+  void careSurplus(const ServiceName& name, const ServiceDirectory::ServiceView& view);
   void careServices();
   std::uint32_t pins(const ServiceName& service, const BranchName& branch) const;
   void noteUnreached(const ServiceName& service, const DatabaseName& database);
@@ -79,8 +79,8 @@
   ProxySettings settings_;
   std::uint64_t boot_;
   Desk desk_;
-  NewsFollower feed_;
-  Guide guide_;
+  UpdateFollower feed_;
+  ServiceDirectory directory_;
   ConnectionPool pool_;
   RequestTable requests_;
   std::map<SessionId, std::shared_ptr<Session>> sessions_;
--- a/src/pool/proxy_placing.cpp
+++ b/src/proxy/proxy_placement.cpp
@@ -1,4 +1,4 @@
-#include "pool/proxy_node.hpp"
+#include "proxy/proxy_node.hpp"
 
 #include <algorithm>
 
@@ -22,13 +22,13 @@
     record->branch = session->pinned->branch;
     return requests_.enrol(record);
   }
-  auto view = guide_.kind(record->kind);
-  if (!view.kind) return refuse(record, view.refusal, view.refusal == "unknown kind of work" && guide_.anyLease() ? 403 : 503);
+  auto view = directory_.kind(record->kind);
+  if (!view.kind) return refuse(record, view.refusal, view.refusal == "unknown kind of work" && directory_.anyLease() ? 403 : 503);
   record->service = view.kind->service;
   record->branch = view.kind->branch;
   record->order = view.service->plan->service.branches.at(record->branch).order;
   if (session->pinned) return requests_.enrol(record);
-  auto waiting = requests_.waitingOn(record->service, record->branch);
+  auto waiting = requests_.waitingCount(record->service, record->branch);
   if (waiting >= settings_.queue) return refuse(record, "queue is full");
   auto granted = view.service->share.most.find(record->branch);
   auto slots = granted == view.service->share.most.end() ? 0 : granted->second;
@@ -49,7 +49,7 @@
   if (since < settings_.timings.stop - 300ms) return;
   auto underway = requests_.records();
   for (const auto& [number, record] : underway) {
-    if (record->stage != RequestStage::passed || !record->request.keeps())
+    if (record->stage != RequestStage::passed || !record->request.mayWrite())
       refuse(record, "this node is leaving");
     else
       unknown(record, "this node had to leave before the database replied");
@@ -62,9 +62,9 @@
 
 void ProxyNode::placeOne(const Record& record) {
   if (record->session->pinned) return placePinned(record);
-  auto view = guide_.kind(record->kind);
+  auto view = directory_.kind(record->kind);
   if (!view.kind || view.kind->service != record->service) return refuse(record, view.kind ? "the plan changed" : view.refusal);
-  if (!guide_.leased(record->service)) return refuse(record, "no current lease");
+  if (!directory_.leased(record->service)) return refuse(record, "no current lease");
   if (record->session->inTransaction) return transactionLost(record);
   if (record->session->stateful) {
     record->session->stateLost = true;
@@ -107,7 +107,8 @@
   scope_.spawn(passOn(record, connection, Choice{connection->database, {}, connection->epoch}));
 }
 
-std::optional<ProxyNode::Choice> ProxyNode::choose(const Record& record, const Guide::KindView& view, std::string& refusal) const {
+std::optional<ProxyNode::Choice> ProxyNode::choose(const Record& record, const ServiceDirectory::KindView& view,
+                                                   std::string& refusal) const {
   bool mayRead = record->request.reads && view.kind->consistency != Consistency::primary;
   if (mayRead)
     if (auto replica = chooseReplica(record, view)) return replica;
@@ -129,13 +130,13 @@
   return Choice{found->first, found->second.address, primary.epoch};
 }
 
-std::optional<ProxyNode::Choice> ProxyNode::chooseReplica(const Record& record, const Guide::KindView& view) const {
+std::optional<ProxyNode::Choice> ProxyNode::chooseReplica(const Record& record, const ServiceDirectory::KindView& view) const {
   std::optional<Choice> best;
   std::uint32_t least = 0;
   auto own = record->session->own.find(record->service);
   auto needed = own == record->session->own.end() ? Position{} : own->second;
   auto bound = view.kind->stalenessBound();
-  for (const auto& sign : guide_.signs(record->service)) {
+  for (const auto& sign : directory_.databaseReports(record->service)) {
     DatabaseName name{sign.database};
     auto planned = view.service->databases.find(name);
     if (planned == view.service->databases.end() || name == view.service->primary.primary) continue;
@@ -154,8 +155,8 @@
 }
 
 bool ProxyNode::mayPass(const Record& record, const PooledConnection& connection) const {
-  if (!guide_.leased(record->service)) return false;
-  const auto* service = guide_.service(record->service);
+  if (!directory_.leased(record->service)) return false;
+  const auto* service = directory_.service(record->service);
   if (!service || connection.epoch != service->primary.epoch || leavesTooLate(connection, record->session->inTransaction)) return false;
   bool fits = !misfit(record->kind, connection);
   bool stillHeld = record->session->pinned.get() == &connection && connection.kind == record->kind &&
@@ -164,7 +165,7 @@
 }
 
 std::optional<std::string> ProxyNode::misfit(const KindName& kind, const PooledConnection& connection) const {
-  auto view = guide_.kind(kind);
+  auto view = directory_.kind(kind);
   if (!view.kind) return view.refusal;
   if (view.kind->service != connection.service) return "the plan changed";
   const auto& databases = view.service->databases;
@@ -175,7 +176,7 @@
 }
 
 bool ProxyNode::leavesTooLate(const PooledConnection& connection, bool inTransaction) const {
-  const auto* service = guide_.service(connection.service);
+  const auto* service = directory_.service(connection.service);
   auto drained = service->drained.find(connection.database);
   return drained != service->drained.end() && (!inTransaction || clock_.now() - drained->second > settings_.timings.stopTransactions);
 }
--- a/src/pool/proxy_settling.cpp
+++ b/src/proxy/proxy_replies.cpp
@@ -1,4 +1,4 @@
-#include "pool/proxy_node.hpp"
+#include "proxy/proxy_node.hpp"
 
 #include <algorithm>
 
@@ -60,17 +60,17 @@
   journal_.count("requests.refused");
   journal_.count("refused: " + reason);
   RequestReply reply;
-  reply.fate = status == 410 ? RequestFate::lostState : RequestFate::refused;
+  reply.outcome = status == 410 ? RequestOutcome::stateLost : RequestOutcome::refused;
   reply.status = status;
   reply.reason = reason;
-  if (status == 503) reply.comeBack = settings_.timings.comeBack;
+  if (status == 503) reply.retryAfter = settings_.timings.comeBack;
   requests_.reply(record, std::move(reply));
 }
 
 void ProxyNode::unknown(const Record& record, const std::string& reason) {
   journal_.count("requests.unknown");
   RequestReply reply;
-  reply.fate = RequestFate::unknown;
+  reply.outcome = RequestOutcome::unknown;
   reply.status = 504;
   reply.reason = reason;
   requests_.reply(record, std::move(reply));
@@ -82,7 +82,7 @@
   refuse(record, "transaction lost, nothing was kept", 410);
 }
 
-void ProxyNode::settle(const Record& record, const std::shared_ptr<PooledConnection>& connection, PassOutcome outcome) {
+void ProxyNode::settle(const Record& record, const std::shared_ptr<PooledConnection>& connection, DatabaseOutcome outcome) {
   if (outcome.fate == PassFate::replied) unreached_[record->service].erase(connection->database);
   if (outcome.fate == PassFate::replied)
     settleReplied(record, connection, std::move(outcome.reply));
@@ -97,7 +97,7 @@
   bool pinned = session->pinned == connection;
   if (pinned) session->pinned.reset();
   pool_.drop(connection);
-  bool mayBeKept = sent && record->request.keeps() && record->request.operation != Operation::rollback;
+  bool mayBeKept = sent && record->request.mayWrite() && record->request.operation != Operation::rollback;
   if (session->inTransaction) {
     if (sent && record->request.operation == Operation::commit) {
       session->inTransaction = false;
@@ -115,15 +115,15 @@
 
 void ProxyNode::settleReplied(const Record& record, const std::shared_ptr<PooledConnection>& connection, DatabaseReply reply) {
   const auto& session = record->session;
-  auto view = guide_.kind(record->kind);
+  auto view = directory_.kind(record->kind);
   auto operation = record->request.operation;
-  const auto* service = guide_.service(record->service);
+  const auto* service = directory_.service(record->service);
   bool atPrimary = service && service->primary.primary == connection->database;
-  bool current = service && guide_.leased(record->service) && service->primary.epoch == connection->epoch && (atPrimary || view.kind);
+  bool current = service && directory_.leased(record->service) && service->primary.epoch == connection->epoch && (atPrimary || view.kind);
   if (current && atPrimary) current = reply.standing.role == "primary" && reply.standing.epoch == connection->epoch;
   bool inTransaction = session->inTransaction && session->pinned == connection;
   bool keptNow =
-      reply.done && record->request.keeps() &&
+      reply.done && record->request.mayWrite() &&
       (operation == Operation::commit || (!inTransaction && (operation == Operation::statement || operation == Operation::execute)));
 
   if (!current) {
@@ -146,7 +146,7 @@
   }
   if (keptNow && !reply.replicated) {
     auto& position = session->own[record->service];
-    position = std::max(position, reply.keptAt);
+    position = std::max(position, reply.commitPosition);
     if (operation == Operation::commit) session->inTransaction = false;
     retire(record, connection);
     return unknown(record, "kept by the primary alone");
@@ -167,21 +167,21 @@
   }
   if (keptNow) {
     auto& own = session->own[record->service];
-    own = std::max(own, reply.keptAt);
+    own = std::max(own, reply.commitPosition);
     auto& acknowledged = acknowledged_[record->service];
-    acknowledged = std::max(acknowledged, Place{reply.standing.epoch, reply.keptAt});
+    acknowledged = std::max(acknowledged, Place{reply.standing.epoch, reply.commitPosition});
   }
   if (operation == Operation::begin && reply.done) session->inTransaction = true;
   if (operation == Operation::commit || operation == Operation::rollback) session->inTransaction = false;
   if (reply.done && (operation == Operation::prepare || operation == Operation::set)) session->stateful = true;
   retire(record, connection);
   RequestReply answer;
-  answer.fate = reply.done ? RequestFate::done : RequestFate::failed;
+  answer.outcome = reply.done ? RequestOutcome::done : RequestOutcome::failed;
   answer.status = reply.done ? 200 : 422;
   answer.reason = reply.reason;
   answer.result = std::move(reply.result);
   answer.database = connection->database;
-  answer.position = keptNow ? reply.keptAt : reply.standing.position;
+  answer.position = keptNow ? reply.commitPosition : reply.standing.position;
   journal_.count(reply.done ? "requests.done" : "requests.failed");
   requests_.reply(record, std::move(answer));
 }
--- a/src/pool/request_record.hpp
+++ b/src/proxy/request_record.hpp
@@ -1,20 +1,20 @@
 #pragma once
 
 #include "base/gate.hpp"
-#include "pool/session.hpp"
+#include "proxy/session.hpp"
 
 namespace tamarindshift {
 
 enum class RequestStage { enrolled, waitsForConnection, passed, replied };
 
-enum class RequestFate { done, failed, refused, unknown, lostState };
+enum class RequestOutcome { done, failed, refused, unknown, stateLost };
 
 struct RequestReply {
-  RequestFate fate = RequestFate::refused;
+  RequestOutcome outcome = RequestOutcome::refused;
   int status = 503;
   std::string reason;
   std::string result;
-  std::optional<Duration> comeBack;
+  std::optional<Duration> retryAfter;
   DatabaseName database;
   Position position;
 };
--- a/src/pool/request_table.cpp
+++ b/src/proxy/request_table.cpp
@@ -1,4 +1,4 @@
-#include "pool/request_table.hpp"
+#include "proxy/request_table.hpp"
 
 namespace tamarindshift {
 
@@ -35,7 +35,7 @@
   return waiting;
 }
 
-std::size_t RequestTable::waitingOn(const ServiceName& service, const BranchName& branch) const {
+std::size_t RequestTable::waitingCount(const ServiceName& service, const BranchName& branch) const {
   auto found = waitingOn_.find({service, branch});
   return found == waitingOn_.end() ? 0 : found->second;
 }
--- a/src/pool/request_table.hpp
+++ b/src/proxy/request_table.hpp
@@ -2,7 +2,7 @@
 
 #include <map>
 
-#include "pool/request_record.hpp"
+#include "proxy/request_record.hpp"
 
 namespace tamarindshift {
 
@@ -15,8 +15,8 @@
   void waits(const Record& record);
   void reply(const Record& record, RequestReply reply);
   std::vector<Record> waiting() const;
-  std::size_t waitingOn(const ServiceName& service, const BranchName& branch) const;
-  std::size_t underway() const { return records_.size(); }
+  std::size_t waitingCount(const ServiceName& service, const BranchName& branch) const;
+  std::size_t inFlight() const { return records_.size(); }
   const std::map<std::uint64_t, Record>& records() const { return records_; }
 
  private:
--- a/src/pool/guide.cpp
+++ b/src/proxy/service_directory.cpp
@@ -1,4 +1,4 @@
-#include "pool/guide.hpp"
+#include "proxy/service_directory.hpp"
 
 #include <algorithm>
 
@@ -6,7 +6,7 @@
 
 namespace tamarindshift {
 
-void Guide::refresh() {
+void ServiceDirectory::refresh() {
   readFleet();
   std::set<ServiceName> wanted;
   for (const auto& [kind, service] : fleetPlan_.kinds) wanted.insert(service);
@@ -14,19 +14,19 @@
     return !wanted.contains(each.first);
   });
   for (const auto& service : wanted) {
-    const auto* entry = feed_.board().find(service.get());
+    const auto* entry = feed_.updates().find(service.get());
     if (!entry) continue;
     readService(service, *entry);
     auto& view = services_[service];
-    view.share = enrolled(service) ? view.granted : ShareNews{};
+    view.share = registered(service) ? view.granted : ShareNews{};
   }
 }
 
-bool Guide::enrolled(const ServiceName& name) const {
+bool ServiceDirectory::registered(const ServiceName& name) const {
   return nodeKnown_ && node_news_.boot == boot_ && feed_.position(name.get()) >= node_news_.enrolledAt;
 }
 
-std::optional<std::string> Guide::shareless(const ServiceName& name) const {
+std::optional<std::string> ServiceDirectory::missingShareReason(const ServiceName& name) const {
   const auto* view = service(name);
   if (!view) return "no news of the service yet";
   if (!nodeKnown_) return "not registered";
@@ -39,27 +39,27 @@
   return "nothing is granted; the status of the duty holder says why";
 }
 
-void Guide::readFleet() {
-  const auto* entry = feed_.board().find(fleetTopic);
+void ServiceDirectory::readFleet() {
+  const auto* entry = feed_.updates().find(fleetTopic);
   if (!entry || entry->mark == fleetMark_) return;
   fleetMark_ = entry->mark;
-  if (entry->planAt != fleetPlanAt_) fleetPlan_ = fleetPlanIn(entry->table);
-  fleetPlanAt_ = entry->planAt;
+  if (entry->planChangeMark != fleetPlanChangeMark_) fleetPlan_ = fleetPlanIn(entry->table);
+  fleetPlanChangeMark_ = entry->planChangeMark;
   auto own = entry->table.find(nodePrefix + node_.get());
   nodeKnown_ = own != entry->table.end();
   if (nodeKnown_)
     if (auto news = unpacked<NodeNews>(own->second)) node_news_ = *news;
 }
 
-void Guide::readService(const ServiceName& name, const NewsBoard::Entry& entry) {
+void ServiceDirectory::readService(const ServiceName& name, const UpdateStore::TopicState& entry) {
   auto& view = services_[name];
   if (view.mark == entry.mark) return;
   auto drainedBefore = std::move(view.drained);
   auto planBefore = std::move(view.plan);
-  bool samePlan = planBefore && view.planAt == entry.planAt;
+  bool samePlan = planBefore && view.planChangeMark == entry.planChangeMark;
   view = ServiceView{};
   view.mark = entry.mark;
-  view.planAt = entry.planAt;
+  view.planChangeMark = entry.planChangeMark;
   static const std::string drainedPrefix = "drained/";
   static const std::string databasePrefix = "database/";
   static const std::string rationPrefix = "ration/";
@@ -84,7 +84,7 @@
       view.databases[database] = DatabaseNews{planned.address, {}, planned.cap};
 }
 
-bool Guide::KindView::selects(const DatabaseName& database) const {
+bool ServiceDirectory::KindView::selects(const DatabaseName& database) const {
   if (kind->databases.empty()) return service->databases.contains(database);
   auto planned = service->plan->service.databases.find(database);
   if (planned == service->plan->service.databases.end()) return false;
@@ -92,7 +92,7 @@
   return std::includes(labels.begin(), labels.end(), kind->databases.begin(), kind->databases.end());
 }
 
-Guide::KindView Guide::kind(const KindName& name) const {
+ServiceDirectory::KindView ServiceDirectory::kind(const KindName& name) const {
   auto found = fleetPlan_.kinds.find(name);
   if (found == fleetPlan_.kinds.end()) return {nullptr, nullptr, "unknown kind of work"};
   const auto* own = service(found->second);
@@ -103,19 +103,19 @@
   return {&kind, own, {}};
 }
 
-const Guide::ServiceView* Guide::service(const ServiceName& name) const {
+const ServiceDirectory::ServiceView* ServiceDirectory::service(const ServiceName& name) const {
   auto found = services_.find(name);
   return found == services_.end() ? nullptr : &found->second;
 }
 
-std::optional<Instant> Guide::leaseUntil(const ServiceName& name) const {
+std::optional<Instant> ServiceDirectory::leaseUntil(const ServiceName& name) const {
   auto own = feed_.leaseUntil(name.get());
   auto fleet = feed_.leaseUntil(fleetTopic);
   if (!own || !fleet) return std::nullopt;
   return std::min(*own, *fleet);
 }
 
-bool Guide::routesKnown() const {
+bool ServiceDirectory::routesKnown() const {
   if (!anyLease() || fleetPlan_.mark == PlanMark{}) return false;
   return std::all_of(fleetPlan_.kinds.begin(), fleetPlan_.kinds.end(), [this](const auto& each) {
     const auto* own = service(each.second);
@@ -123,7 +123,7 @@
   });
 }
 
-bool Guide::servicesKnown() const {
+bool ServiceDirectory::servicesKnown() const {
   if (!anyLease() || fleetPlan_.mark == PlanMark{}) return false;
   return std::all_of(fleetPlan_.kinds.begin(), fleetPlan_.kinds.end(), [this](const auto& each) {
     const auto* own = service(each.second);
@@ -131,16 +131,16 @@
   });
 }
 
-bool Guide::leased(const ServiceName& name) const {
+bool ServiceDirectory::leased(const ServiceName& name) const {
   return leaseUntil(name).has_value();
 }
 
-bool Guide::draining() const {
+bool ServiceDirectory::draining() const {
   return nodeKnown_ && node_news_.draining;
 }
 
-std::vector<DatabaseSign> Guide::signs(const ServiceName& name) const {
-  return feed_.signs(name.get());
+std::vector<DatabaseReport> ServiceDirectory::databaseReports(const ServiceName& name) const {
+  return feed_.databaseReports(name.get());
 }
 
 }  // namespace tamarindshift
--- a/src/pool/guide.hpp
+++ b/src/proxy/service_directory.hpp
@@ -2,16 +2,16 @@
 
 #include "control/ration.hpp"
 #include "control/service_news.hpp"
-#include "news/news_feed.hpp"
+#include "updates/update_feed.hpp"
 
 namespace tamarindshift {
 
-class Guide {
+class ServiceDirectory {
  public:
   struct ServiceView {
     std::uint64_t mark = 0;
     // the mark of the news that the plan was read from
-    std::uint64_t planAt = 0;
+    std::uint64_t planChangeMark = 0;
     std::optional<ServiceNews> plan;
     PrimaryNews primary;
     std::map<DatabaseName, DatabaseNews> databases;
@@ -27,16 +27,17 @@
     bool selects(const DatabaseName& database) const;
   };
 
-  Guide(Clock& clock, NewsFeed& feed, Address node, std::uint64_t boot) : clock_(clock), feed_(feed), node_(std::move(node)), boot_(boot) {}
+  ServiceDirectory(Clock& clock, UpdateFeed& feed, Address node, std::uint64_t boot)
+      : clock_(clock), feed_(feed), node_(std::move(node)), boot_(boot) {}
 
   KindView kind(const KindName& name) const;
   const ServiceView* service(const ServiceName& name) const;
   const std::map<ServiceName, ServiceView>& services() const { return services_; }
   // why this node holds no share of a service, as far as the news tell
-  std::optional<std::string> shareless(const ServiceName& name) const;
+  std::optional<std::string> missingShareReason(const ServiceName& name) const;
   bool leased(const ServiceName& name) const;
   std::optional<Instant> leaseUntil(const ServiceName& name) const;
-  std::vector<DatabaseSign> signs(const ServiceName& name) const;
+  std::vector<DatabaseReport> databaseReports(const ServiceName& name) const;
   PlanMark planMark() const { return fleetPlan_.mark; }
   const std::map<std::string, std::uint64_t>& limits() const { return fleetPlan_.limits; }
   bool draining() const;
@@ -51,15 +52,15 @@
 
  private:
   void readFleet();
-  bool enrolled(const ServiceName& name) const;
-  void readService(const ServiceName& name, const NewsBoard::Entry& entry);
+  bool registered(const ServiceName& name) const;
+  void readService(const ServiceName& name, const UpdateStore::TopicState& entry);
 
   Clock& clock_;
-  NewsFeed& feed_;
+  UpdateFeed& feed_;
   Address node_;
   std::uint64_t boot_;
   std::uint64_t fleetMark_ = 0;
-  std::uint64_t fleetPlanAt_ = 0;
+  std::uint64_t fleetPlanChangeMark_ = 0;
   FleetPlanNews fleetPlan_;
   NodeNews node_news_;
   bool nodeKnown_ = false;
--- a/src/pool/session.hpp
+++ b/src/proxy/session.hpp
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "edge/door.hpp"
-#include "pool/pooled_connection.hpp"
+#include "proxy/pooled_connection.hpp"
 
 namespace tamarindshift {
 
@@ -14,7 +14,7 @@
 struct Session {
   SessionId id;
   KindName kind;
-  ConnectionId door;
+  ConnectionId clientConnection;
   std::map<ServiceName, Position> own;
   std::shared_ptr<PooledConnection> pinned;
   bool stateful = false;
--- a/src/scale/hollow_node.cpp
+++ b/src/scale/hollow_node.cpp
@@ -28,23 +28,23 @@
 }
 
 bool HollowNode::leased() const {
-  const auto& services = proxy_->guide().services();
+  const auto& services = proxy_->directory().services();
   return !services.empty() && std::all_of(services.begin(), services.end(), [&](const auto& each) {
-    return proxy_->guide().leased(each.first);
+    return proxy_->directory().leased(each.first);
   });
 }
 
 bool HollowNode::follows(PlanMark mark) const {
-  const auto& guide = proxy_->guide();
-  if (guide.planMark() < mark) return false;
-  return std::all_of(guide.services().begin(), guide.services().end(), [&](const auto& each) {
+  const auto& directory = proxy_->directory();
+  if (directory.planMark() < mark) return false;
+  return std::all_of(directory.services().begin(), directory.services().end(), [&](const auto& each) {
     return each.second.plan && each.second.plan->mark >= mark;
   });
 }
 
 bool HollowNode::servedUnder(const ServiceName& service, Epoch epoch) const {
-  const auto* view = proxy_->guide().service(service);
-  return view && view->primary.promoted && view->primary.epoch >= epoch && proxy_->guide().leased(service);
+  const auto* view = proxy_->directory().service(service);
+  return view && view->primary.promoted && view->primary.epoch >= epoch && proxy_->directory().leased(service);
 }
 
 }  // namespace tamarindshift
--- a/src/scale/hollow_node.hpp
+++ b/src/scale/hollow_node.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "news/agent_node.hpp"
-#include "pool/proxy_node.hpp"
+#include "updates/agent_node.hpp"
+#include "proxy/proxy_node.hpp"
 #include "scale/metered_link.hpp"
 
 namespace tamarindshift {
--- a/src/scale/light_zone.cpp
+++ b/src/scale/light_zone.cpp
@@ -20,15 +20,15 @@
               }),
       desk(zone.clock_, metered, freshEntropy()) {
   for (std::size_t replica = 0; replica < zone.addresses_.shape.replicas; ++replica) replicas.push_back(zone.addresses_.replica(replica));
-  std::rotate(replicas.begin(), replicas.begin() + static_cast<std::ptrdiff_t>(ZoneHomes::spread(address.get()) % replicas.size()),
+  std::rotate(replicas.begin(), replicas.begin() + static_cast<std::ptrdiff_t>(ZoneRelays::hash(address.get()) % replicas.size()),
               replicas.end());
   desk.serve("report-whole", [this](Address from, std::string) -> Task<std::optional<std::string>> {
-    book.forget(from);
+    book.sendWholeNext(from);
     if (book.last().boot != 0) tell(from);
     co_return std::nullopt;
   });
   if (!follows) return;
-  follower = std::make_unique<NewsFollower>(
+  follower = std::make_unique<UpdateFollower>(
       zone.clock_, desk, zone.journal_,
       [this](const Topic& topic) {
         return sources(topic);
@@ -37,7 +37,7 @@
 }
 
 std::vector<Address> LightZone::Node::sources(const Topic& topic) const {
-  auto sources = zone.homes_.of(topic, address);
+  auto sources = zone.homes_.relaysFor(topic, address);
   sources.insert(sources.end(), replicas.begin(), replicas.end());
   return sources;
 }
@@ -68,7 +68,7 @@
       report.services = zone.services_;
       for (const auto& [service, own] : report.services)
         if (auto until = zone.shared_->leaseUntil(service.get())) report.lease = std::max(report.lease, *until - zone.clock_.now());
-      book.note(std::move(report));
+      book.record(std::move(report));
       for (const auto& replica : replicas) tell(replica);
       told = zone.changesOfServices_;
       toldAt = zone.clock_.now();
@@ -87,16 +87,16 @@
     if (index >= real) light.push_back(index);
   }
   std::sort(agents.begin(), agents.end());
-  homes_ = ZoneHomes{agents};
+  homes_ = ZoneRelays{agents};
   bool allFollow = false;
-  for (auto index = zone; index < real; index += addresses_.shape.zones) allFollow = allFollow || homes_.home(addresses_.agent(index));
+  for (auto index = zone; index < real; index += addresses_.shape.zones) allFollow = allFollow || homes_.isRelay(addresses_.agent(index));
   for (auto index : light)
-    nodes_.push_back(std::make_unique<Node>(*this, context, index, allFollow || homes_.home(addresses_.agent(index))));
+    nodes_.push_back(std::make_unique<Node>(*this, context, index, allFollow || homes_.isRelay(addresses_.agent(index))));
   for (const auto& node : nodes_)
     if (!shared_) shared_ = node->follower.get();
   for (auto& node : nodes_) {
     auto& feed = node->follower ? *node->follower : *shared_;
-    node->news = std::make_unique<NewsDesk>(clock_, node->desk, feed.board(), feed, timings_.newsWait);
+    node->news = std::make_unique<UpdateServer>(clock_, node->desk, feed.updates(), feed, timings_.newsWait);
   }
 }
 
@@ -113,11 +113,11 @@
   std::map<ServiceName, ServiceReport> services;
   for (const auto& [topic, followed] : shared_->topics()) {
     if (topic == fleetTopic) continue;
-    const auto* entry = shared_->board().find(topic);
+    const auto* entry = shared_->updates().find(topic);
     auto plan = entry ? servicePlanIn(entry->table) : std::nullopt;
     if (!plan) continue;
     auto& own = services[ServiceName{topic}];
-    own.followed = shared_->board().mark(topic);
+    own.followed = shared_->updates().mark(topic);
     own.epoch = news<PrimaryNews>(topic, "primary").value_or(PrimaryNews{}).epoch;
     for (const auto& [branch, planned] : plan->service.branches) own.wanted[branch] = 1;
   }
@@ -135,7 +135,7 @@
 
 template <class News>
 std::optional<News> LightZone::news(const Topic& topic, const std::string& key) const {
-  const auto* entry = shared_->board().find(topic);
+  const auto* entry = shared_->updates().find(topic);
   if (!entry) return std::nullopt;
   auto found = entry->table.find(key);
   return found == entry->table.end() ? std::nullopt : unpacked<News>(found->second);
@@ -158,7 +158,7 @@
 }
 
 PlanMark LightZone::planMark(const Topic& topic) const {
-  const auto* entry = shared_->board().find(topic);
+  const auto* entry = shared_->updates().find(topic);
   return entry ? planMarkIn(entry->table) : PlanMark{};
 }
 
--- a/src/scale/light_zone.hpp
+++ b/src/scale/light_zone.hpp
@@ -2,10 +2,10 @@
 
 #include "control/access_messages.hpp"
 #include "edge/door.hpp"
-#include "news/news_desk.hpp"
-#include "news/news_follower.hpp"
-#include "news/report_book.hpp"
-#include "news/zone_homes.hpp"
+#include "updates/update_server.hpp"
+#include "updates/update_follower.hpp"
+#include "updates/report_tracker.hpp"
+#include "updates/zone_relays.hpp"
 #include "real/tcp_link.hpp"
 #include "scale/metered_link.hpp"
 #include "scale/scale_addresses.hpp"
@@ -36,7 +36,7 @@
     void gone(ConnectionId) override {}
     Task<void> report();
     void tellAll(const std::string& subject, const std::string& bytes);
-    void tell(const Address& replica) { desk.tell(replica, "report", book.tell(replica, zone.clock_.now())); }
+    void tell(const Address& replica) { desk.tell(replica, "report", book.nextMessage(replica, zone.clock_.now())); }
     LightZone& zone;
     std::size_t index;
     Address address;
@@ -45,9 +45,9 @@
     MeteredLink metered;
     Desk desk;
     std::vector<Address> replicas;
-    ReportBook book{20s};
-    std::unique_ptr<NewsFollower> follower;
-    std::unique_ptr<NewsDesk> news;
+    ReportTracker book{20s};
+    std::unique_ptr<UpdateFollower> follower;
+    std::unique_ptr<UpdateServer> news;
   };
 
   Task<void> keepServices();
@@ -61,9 +61,9 @@
   const ScaleAddresses& addresses_;
   std::size_t zone_;
   Timings timings_;
-  ZoneHomes homes_;
+  ZoneRelays homes_;
   std::vector<std::unique_ptr<Node>> nodes_;
-  NewsFollower* shared_ = nullptr;
+  UpdateFollower* shared_ = nullptr;
   std::map<ServiceName, ServiceReport> services_;
   std::string toldServices_;
   std::uint64_t changesOfServices_ = 0;
--- a/src/scale/link_pieces.cpp
+++ b/src/scale/link_pieces.cpp
@@ -2,7 +2,7 @@
 
 #include <time.h>
 
-#include "news/news_desk.hpp"
+#include "updates/update_server.hpp"
 #include "real/real_clock.hpp"
 #include "real/tcp_link.hpp"
 #include "scale/quiet_journal.hpp"
@@ -17,12 +17,12 @@
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * 1e-9;
 }
 
-class Source : public NewsSource {
+class Source : public UpdateSource {
  public:
   explicit Source(Clock& clock) : clock_(clock) {}
   std::optional<Instant> leaseUntil(const Topic&) override { return clock_.now() + 2s; }
-  std::vector<DatabaseSign> signs(const Topic&) override {
-    return std::vector<DatabaseSign>(3, DatabaseSign{"d1", "replica", 2, 123456, 150ms, 120ms});
+  std::vector<DatabaseReport> databaseReports(const Topic&) override {
+    return std::vector<DatabaseReport>(3, DatabaseReport{"d1", "replica", 2, 123456, 150ms, 120ms});
   }
   std::uint64_t position(const Topic&) override { return 1000; }
 
@@ -43,7 +43,7 @@
     for (std::size_t service = 1; service <= addresses.shape.services(); ++service) {
       auto topic = numbered("s", service);
       board_.publish(topic, 1000, {{"plan", "news"}});
-      ask_.have[topic] = 1000;
+      ask_.knownMarks[topic] = 1000;
     }
     farDesk_.serve("report", [this](Address, std::string) -> Task<std::optional<std::string>> {
       ++reports_;
@@ -95,9 +95,9 @@
   TcpLink far_;
   Desk nearDesk_;
   Desk farDesk_;
-  NewsBoard board_;
-  FollowAsk ask_;
-  NewsDesk news_;
+  UpdateStore board_;
+  FollowRequest ask_;
+  UpdateServer news_;
   std::size_t answered_ = 0;
   std::size_t running_ = 0;
   std::size_t reports_ = 0;
--- a/src/scale/pieces.cpp
+++ b/src/scale/pieces.cpp
@@ -123,7 +123,7 @@
     note("snapshot_us", cost([&] {
            state_.snapshot();
          }));
-    NewsBoard board;
+    UpdateStore board;
     ControlState joined(board);
     note("snapshot_restore_us", cost([&] {
            joined.restore(snapshot);
@@ -139,7 +139,7 @@
       own.position = position_;
       if (signs && topic != fleetTopic)
         for (std::size_t number = 1; number <= shape_.databasesPerService; ++number)
-          own.signs.push_back(DatabaseSign{"d" + std::to_string(number), "replica", 2, 123456, 150ms, 120ms});
+          own.databaseReports.push_back(DatabaseReport{"d" + std::to_string(number), "replica", 2, 123456, 150ms, 120ms});
     }
     return packed(DeskReply{1u << 30, ~0ull, packed(reply)}).size();
   }
@@ -151,17 +151,17 @@
   }
 
   void newsFigures() {
-    FollowAsk ask;
-    ask.have = marks();
+    FollowRequest ask;
+    ask.knownMarks = marks();
     note("ask_bytes", static_cast<double>(asked("follow", packed(ask)).size()));
-    note("quiet_reply_bytes", static_cast<double>(replyBytes(ask.have)));
-    note("quiet_reply_without_signs_bytes", static_cast<double>(replyBytes(ask.have, false)));
+    note("quiet_reply_bytes", static_cast<double>(replyBytes(ask.knownMarks)));
+    note("quiet_reply_without_signs_bytes", static_cast<double>(replyBytes(ask.knownMarks, false)));
     note("fleet_table_bytes", static_cast<double>(replyBytes({{fleetTopic, 0}})));
-    auto nothing = ask.have;
+    auto nothing = ask.knownMarks;
     for (auto& [topic, mark] : nothing) mark = 0;
     note("news_tables_bytes", static_cast<double>(replyBytes(nothing)));
     note("quiet_reply_us", cost([&] {
-           replyBytes(ask.have);
+           replyBytes(ask.knownMarks);
          }));
     const auto* fleet = board_.find(fleetTopic);
     note("zone_agents_us", cost([&] {
@@ -244,7 +244,7 @@
 
   ScaleShape shape_;
   ScaleAddresses addresses_;
-  NewsBoard board_;
+  UpdateStore board_;
   ControlState state_;
   std::string planText_;
   std::optional<Plan> plan_;
--- a/src/scale/simulated_scale.hpp
+++ b/src/scale/simulated_scale.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "control/operator_door.hpp"
-#include "pool/json_database_control.hpp"
+#include "proxy/json_database_control.hpp"
 #include "scale/distant_link.hpp"
 #include "scale/hollow_node.hpp"
 #include "scale/scale_plan.hpp"
--- a/src/simulated/never_list.cpp
+++ b/src/simulated/never_list.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "pool/database_json.hpp"
+#include "proxy/database_json.hpp"
 
 namespace tamarindshift {
 
--- a/src/simulated/sent_request.hpp
+++ b/src/simulated/sent_request.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "pool/database_messages.hpp"
+#include "proxy/database_messages.hpp"
 
 namespace tamarindshift {
 
--- a/src/simulated/session_checks.cpp
+++ b/src/simulated/session_checks.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "pool/database_json.hpp"
+#include "proxy/database_json.hpp"
 
 namespace tamarindshift {
 
@@ -56,7 +56,7 @@
 }
 
 void SessionChecks::end(const std::string& database, Stretch& stretch, const StandinHistoryEntry& entry) {
-  std::string name = text(entry.request.operation);
+  std::string name = operationName(entry.request.operation);
   if (!stretch.open) return fault_(name + " outside of a transaction at " + database);
   stretch.open = false;
   if (!stretch.last) return fault_(name + " of nothing at " + database);
--- a/src/simulated/simulated_fleet.cpp
+++ b/src/simulated/simulated_fleet.cpp
@@ -169,7 +169,7 @@
     co_await sleep(clock_, 20ms);
   }
   if (!own.proxy) co_return;
-  own.unansweredAtStop += own.proxy->requests().underway();
+  own.unansweredAtStop += own.proxy->requests().inFlight();
   co_await sleep(clock_, 10ms);
   killProxy(own);
   while (own.agent && !own.agent->stopped()) co_await sleep(clock_, 20ms);
@@ -322,10 +322,10 @@
   for (std::size_t index = 0; index < machines_.size(); ++index) {
     auto& own = *machines_[index];
     if (!own.proxy || own.clock->frozen()) continue;
-    const auto& guide = own.proxy->guide();
-    auto mark = guide.planMark();
+    const auto& directory = own.proxy->directory();
+    auto mark = directory.planMark();
     bool works = false;
-    for (const auto& [name, view] : guide.services()) works = works || guide.leased(name);
+    for (const auto& [name, view] : directory.services()) works = works || directory.leased(name);
     auto who = "machine " + std::to_string(index + 1) + " at " + std::to_string(milliseconds(world_.now() - start_).count()) + "ms";
     if (works && mark.get() < required)
       slip(who + " works under plan " + std::to_string(mark.get()) + ", " + std::to_string(required) + " is older than 3 s");
--- a/src/simulated/simulated_fleet.hpp
+++ b/src/simulated/simulated_fleet.hpp
@@ -4,8 +4,8 @@
 
 #include "control/operator_door.hpp"
 #include "edge/session_door.hpp"
-#include "news/agent_node.hpp"
-#include "pool/json_database_control.hpp"
+#include "updates/agent_node.hpp"
+#include "proxy/json_database_control.hpp"
 #include "simulated/availability.hpp"
 #include "simulated/fleet_shape.hpp"
 #include "simulated/plan_asks.hpp"
--- a/src/simulated/standin_callers.cpp
+++ b/src/simulated/standin_callers.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "pool/database_json.hpp"
+#include "proxy/database_json.hpp"
 
 namespace tamarindshift {
 
--- a/src/simulated/standin_database.cpp
+++ b/src/simulated/standin_database.cpp
@@ -7,7 +7,7 @@
 
 #include "control/heartbeat_json.hpp"
 #include "edge/door_replies.hpp"
-#include "pool/database_json.hpp"
+#include "proxy/database_json.hpp"
 
 namespace tamarindshift {
 
@@ -24,9 +24,9 @@
   scope_.spawn(heartbeats());
 }
 
-DatabaseStanding StandinDatabase::standing() const {
+DatabaseStatus StandinDatabase::standing() const {
   Duration age = role_ == "primary" || lies_ ? Duration::zero() : contactAt_ ? clock_.now() - *contactAt_ : Duration{3600s};
-  return DatabaseStanding{role_, epoch_, Position{position_ + (role_ == "primary" ? 0 : boast_)}, age, epoch_};
+  return DatabaseStatus{role_, epoch_, Position{position_ + (role_ == "primary" ? 0 : boast_)}, age, epoch_};
 }
 
 void StandinDatabase::restore(StandinDatabaseDisk disk) {
@@ -58,7 +58,7 @@
 
 Task<DoorReply> StandinDatabase::serve(DoorRequest request) {
   if (request.path == "/run" && request.method == "POST") co_return co_await run(request.connection, std::move(request.body));
-  if (request.path == "/status") co_return DoorReply{200, standingToJson(standing()), std::nullopt};
+  if (request.path == "/status") co_return DoorReply{200, statusToJson(standing()), std::nullopt};
   if (request.path == "/pull" && request.method == "POST") co_return co_await pull(std::move(request.body));
   if (request.path == "/promote" && request.method == "POST") co_return promote(request.body);
   if (request.path == "/demote" && request.method == "POST") co_return demote(request.body);
@@ -316,7 +316,7 @@
   }
   epoch_ = epoch;
   role_ = "primary";
-  return DoorReply{200, standingToJson(standing()), std::nullopt};
+  return DoorReply{200, statusToJson(standing()), std::nullopt};
 }
 
 DoorReply StandinDatabase::demote(const std::string& body) {
@@ -328,7 +328,7 @@
   role_ = "replica";
   contactAt_.reset();
   changed_.open();
-  return DoorReply{200, standingToJson(standing()), std::nullopt};
+  return DoorReply{200, statusToJson(standing()), std::nullopt};
 }
 
 }  // namespace tamarindshift
--- a/src/simulated/standin_database.hpp
+++ b/src/simulated/standin_database.hpp
@@ -9,7 +9,7 @@
 #include "control/access_messages.hpp"
 #include "edge/door.hpp"
 #include "edge/web_link.hpp"
-#include "pool/database_messages.hpp"
+#include "proxy/database_messages.hpp"
 
 namespace tamarindshift {
 
@@ -60,7 +60,7 @@
   void gone(ConnectionId connection) override;
   bool accept(ConnectionId connection);
 
-  DatabaseStanding standing() const;
+  DatabaseStatus standing() const;
   StandinDatabaseDisk disk() const { return {epoch_, position_, data_}; }
   void restore(StandinDatabaseDisk disk);
   void slow(Duration work) { settings_.work = work; }
--- a/src/news/agent_node.cpp
+++ b/src/updates/agent_node.cpp
@@ -1,4 +1,4 @@
-#include "news/agent_node.hpp"
+#include "updates/agent_node.hpp"
 
 #include <algorithm>
 
@@ -21,18 +21,18 @@
           [this](const Topic& topic) {
             return sources(topic);
           },
-          FollowTimings::of(settings_.timings, settings_.signs),
+          FollowTimings::of(settings_.timings, settings_.databaseReports),
           [this] {
             return isHome() ? std::nullopt : std::optional{settings_.address};
           }),
-      newsDesk_(clock, desk_, news_.board(), news_, settings_.timings.newsWait) {
+      newsDesk_(clock, desk_, news_.updates(), news_, settings_.timings.newsWait) {
   desk_.serve("report", [this](Address, std::string body) -> Task<std::optional<std::string>> {
     if (auto report = unpacked<NodeReport>(body)) this->report(std::move(*report));
     co_return std::nullopt;
   });
   desk_.serve("report-whole", [this](Address from, std::string) -> Task<std::optional<std::string>> {
-    reports_.forget(from);
-    if (replicas_.contains(from) && reports_.last().boot != 0) desk_.tell(from, "report", reports_.tell(from, clock_.now()));
+    reports_.sendWholeNext(from);
+    if (replicas_.contains(from) && reports_.last().boot != 0) desk_.tell(from, "report", reports_.nextMessage(from, clock_.now()));
     co_return std::nullopt;
   });
   scope_.spawn(peers());
@@ -57,8 +57,8 @@
          now - *drainingSince_ > settings_.timings.stop + settings_.timings.report;
 }
 
-const ZoneHomes& AgentNode::homes() const {
-  const auto* fleet = board().find(fleetTopic);
+const ZoneRelays& AgentNode::homes() const {
+  const auto* fleet = updates().find(fleetTopic);
   auto mark = fleet ? fleet->mark : 0;
   if (mark == homesAt_) return homes_;
   homesAt_ = mark;
@@ -67,19 +67,19 @@
     auto news = unpacked<NodeNews>(entry->second);
     if (news && news->zone == settings_.zone && !news->draining) agents.push_back(Address{entry->first.substr(nodePrefix.size())});
   }
-  homes_ = ZoneHomes{std::move(agents)};
+  homes_ = ZoneRelays{std::move(agents)};
   return homes_;
 }
 
 std::vector<Address> AgentNode::sources(const Topic& topic) const {
   // whole news come from the replicas: the link of a home has no room for them
   auto own = isHome() ? std::nullopt : std::optional{settings_.address};
-  bool whole = board().completeMark(topic, own) == 0;
-  auto sources = whole ? std::vector<Address>{} : homes().of(topic, settings_.address);
+  bool whole = updates().completeMark(topic, own) == 0;
+  auto sources = whole ? std::vector<Address>{} : homes().relaysFor(topic, settings_.address);
   std::vector<Address> replicas(replicas_.begin(), replicas_.end());
   if (!replicas.empty())
     std::rotate(replicas.begin(),
-                replicas.begin() + static_cast<std::ptrdiff_t>(ZoneHomes::spread(settings_.address.get()) % replicas.size()),
+                replicas.begin() + static_cast<std::ptrdiff_t>(ZoneRelays::hash(settings_.address.get()) % replicas.size()),
                 replicas.end());
   sources.insert(sources.end(), replicas.begin(), replicas.end());
   return sources;
@@ -101,8 +101,8 @@
   reportedAt_ = clock_.now();
   report.node = settings_.address;
   report.zone = settings_.zone;
-  if (!reports_.note(std::move(report))) return;
-  for (const auto& replica : replicas_) desk_.tell(replica, "report", reports_.tell(replica, clock_.now()));
+  if (!reports_.record(std::move(report))) return;
+  for (const auto& replica : replicas_) desk_.tell(replica, "report", reports_.nextMessage(replica, clock_.now()));
 }
 
 Task<DoorReply> AgentNode::serve(DoorRequest request) {
@@ -145,7 +145,7 @@
   json["zone"] = settings_.zone.get();
   for (const auto& [topic, followed] : news_.topics()) {
     auto& own = json["topics"][topic];
-    own = {{"mark", board().mark(topic)}, {"source", followed.source.get()}};
+    own = {{"mark", updates().mark(topic)}, {"source", followed.source.get()}};
     if (followed.leaseUntil && *followed.leaseUntil > clock_.now())
       own["lease_ms"] = milliseconds(*followed.leaseUntil - clock_.now()).count();
   }
--- a/src/news/agent_node.hpp
+++ b/src/updates/agent_node.hpp
@@ -6,25 +6,25 @@
 
 #include "control/access_messages.hpp"
 #include "edge/door.hpp"
-#include "news/agent_settings.hpp"
-#include "news/news_desk.hpp"
-#include "news/news_follower.hpp"
-#include "news/report_book.hpp"
-#include "news/zone_homes.hpp"
+#include "updates/agent_settings.hpp"
+#include "updates/update_server.hpp"
+#include "updates/update_follower.hpp"
+#include "updates/report_tracker.hpp"
+#include "updates/zone_relays.hpp"
 
 namespace tamarindshift {
 
-class AgentNode : public NewsFeed, public DoorKeeper {
+class AgentNode : public UpdateFeed, public DoorKeeper {
  public:
   AgentNode(Clock& clock, PeerLink& link, Journal& journal, AgentSettings settings, std::uint64_t boot);
 
-  const NewsBoard& board() const override { return news_.board(); }
+  const UpdateStore& updates() const override { return news_.updates(); }
   Gate& changed() override { return news_.changed(); }
   Instant coreRepliedAt() const override { return news_.coreRepliedAt(); }
   std::optional<Instant> leaseUntil(const Topic& topic) override { return news_.leaseUntil(topic); }
-  std::vector<DatabaseSign> signs(const Topic& topic) override { return news_.signs(topic); }
+  std::vector<DatabaseReport> databaseReports(const Topic& topic) override { return news_.databaseReports(topic); }
   std::uint64_t position(const Topic& topic) override { return news_.position(topic); }
-  bool answered(const Topic& topic) override { return news_.answered(topic); }
+  bool sourceResponsive(const Topic& topic) override { return news_.sourceResponsive(topic); }
   void report(NodeReport report);
   Task<DoorReply> serve(DoorRequest request) override;
   void gone(ConnectionId) override {}
@@ -35,8 +35,8 @@
   bool stopped() const;
 
  private:
-  const ZoneHomes& homes() const;
-  bool isHome() const { return homes().home(settings_.address); }
+  const ZoneRelays& homes() const;
+  bool isHome() const { return homes().isRelay(settings_.address); }
   Task<void> peers();
   Task<DoorReply> askReplicas(std::string subject, std::string body);
 
@@ -45,11 +45,11 @@
   AgentSettings settings_;
   std::set<Address> replicas_;
   Desk desk_;
-  mutable ZoneHomes homes_;
+  mutable ZoneRelays homes_;
   mutable std::uint64_t homesAt_ = 0;
-  NewsFollower news_;
-  NewsDesk newsDesk_;
-  ReportBook reports_{20s};
+  UpdateFollower news_;
+  UpdateServer newsDesk_;
+  ReportTracker reports_{20s};
   Instant reportedAt_{};
   std::optional<Instant> drainingSince_;
   TaskScope scope_;
--- a/src/news/agent_settings.hpp
+++ b/src/updates/agent_settings.hpp
@@ -12,7 +12,7 @@
   Zone zone;
   std::set<Address> seeds;
   // whether news come with what heartbeats say of databases
-  bool signs = true;
+  bool databaseReports = true;
   Timings timings;
 };
 
--- a/src/news/report_book.cpp
+++ b/src/updates/report_tracker.cpp
@@ -1,8 +1,8 @@
-#include "news/report_book.hpp"
+#include "updates/report_tracker.hpp"
 
 namespace tamarindshift {
 
-bool ReportBook::note(NodeReport report) {
+bool ReportTracker::record(NodeReport report) {
   bool sameBoot = last_.boot == report.boot;
   if (!report.whole && !sameBoot) return false;
   if (!sameBoot) told_.clear();
@@ -30,7 +30,7 @@
   return true;
 }
 
-const std::string& ReportBook::tell(const Address& replica, Instant now) {
+const std::string& ReportTracker::nextMessage(const Address& replica, Instant now) {
   auto [told, fresh] = told_.try_emplace(replica);
   auto& own = told->second;
   bool whole = fresh || now - own.wholeAt > whole_;
@@ -40,7 +40,7 @@
   return bytesAfter(after);
 }
 
-const std::string& ReportBook::bytesAfter(std::uint64_t number) {
+const std::string& ReportTracker::bytesAfter(std::uint64_t number) {
   auto [bytes, fresh] = bytes_.try_emplace(number);
   if (!fresh) return bytes->second;
   if (number == 0) return bytes->second = packed(last_);
--- a/src/news/report_book.hpp
+++ b/src/updates/report_tracker.hpp
@@ -5,15 +5,15 @@
 namespace tamarindshift {
 
 // the last reports of a node, and what each replica was told of them
-class ReportBook {
+class ReportTracker {
  public:
-  explicit ReportBook(Duration whole) : whole_(whole) {}
+  explicit ReportTracker(Duration whole) : whole_(whole) {}
   // false if the report goes on from one that was not noted
-  bool note(NodeReport report);
+  bool record(NodeReport report);
   const NodeReport& last() const { return last_; }
   // what the replica was not told yet, or all of it
-  const std::string& tell(const Address& replica, Instant now);
-  void forget(const Address& replica) { told_.erase(replica); }
+  const std::string& nextMessage(const Address& replica, Instant now);
+  void sendWholeNext(const Address& replica) { told_.erase(replica); }
 
  private:
   struct Told {
--- a/src/news/news_table.hpp
+++ b/src/updates/topic_table.hpp
@@ -6,7 +6,7 @@
 namespace tamarindshift {
 
 using Topic = std::string;
-using NewsTable = std::map<std::string, std::string>;
+using TopicTable = std::map<std::string, std::string>;
 
 inline const Topic fleetTopic = "fleet";
 
--- a/src/news/news_feed.hpp
+++ b/src/updates/update_feed.hpp
@@ -1,14 +1,14 @@
 #pragma once
 
 #include "base/gate.hpp"
-#include "news/news_board.hpp"
-#include "news/news_source.hpp"
+#include "updates/update_store.hpp"
+#include "updates/update_source.hpp"
 
 namespace tamarindshift {
 
-class NewsFeed : public NewsSource {
+class UpdateFeed : public UpdateSource {
  public:
-  virtual const NewsBoard& board() const = 0;
+  virtual const UpdateStore& updates() const = 0;
   // opened when news or a lease came that were not there before
   virtual Gate& changed() = 0;
   // when a replica last answered, with a lease or without
--- a/src/news/news_follower.cpp
+++ b/src/updates/update_follower.cpp
@@ -1,4 +1,4 @@
-#include "news/news_follower.hpp"
+#include "updates/update_follower.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -7,7 +7,7 @@
 
 namespace tamarindshift {
 
-NewsFollower::NewsFollower(Clock& clock, Desk& desk, Journal& journal, Sources sources, FollowTimings timings, Own own)
+UpdateFollower::UpdateFollower(Clock& clock, Desk& desk, Journal& journal, Sources sources, FollowTimings timings, Own own)
     : clock_(clock),
       desk_(desk),
       journal_(journal),
@@ -19,13 +19,13 @@
   scope_.spawn(keepTopics());
 }
 
-std::optional<Instant> NewsFollower::leaseUntil(const Topic& topic) {
+std::optional<Instant> UpdateFollower::leaseUntil(const Topic& topic) {
   auto found = topics_.find(topic);
   if (found == topics_.end() || !found->second.leaseUntil || *found->second.leaseUntil <= clock_.now()) return std::nullopt;
   return found->second.leaseUntil;
 }
 
-std::vector<DatabaseSign> NewsFollower::signs(const Topic& topic) {
+std::vector<DatabaseReport> UpdateFollower::databaseReports(const Topic& topic) {
   auto found = topics_.find(topic);
   if (found == topics_.end()) return {};
   found->second.signsReadAt = clock_.now();
@@ -37,22 +37,22 @@
   return aged;
 }
 
-std::uint64_t NewsFollower::position(const Topic& topic) {
+std::uint64_t UpdateFollower::position(const Topic& topic) {
   auto found = topics_.find(topic);
   return found == topics_.end() ? 0 : found->second.position;
 }
 
 // for longer than one silent source and a held ask to the next one cost
-bool NewsFollower::answered(const Topic& topic) {
+bool UpdateFollower::sourceResponsive(const Topic& topic) {
   auto found = topics_.find(topic);
   return found != topics_.end() && clock_.now() - found->second.takenAt < 2 * timings_.patience;
 }
 
 // a topic for each service of the plan; the plan is read again only when it is another one
-void NewsFollower::followPlan() {
+void UpdateFollower::followPlan() {
   const auto* fleet = board_.find(fleetTopic);
-  if (!fleet || fleet->planAt == topicsOf_) return;
-  topicsOf_ = fleet->planAt;
+  if (!fleet || fleet->planChangeMark == topicsOf_) return;
+  topicsOf_ = fleet->planChangeMark;
   std::set<Topic> wanted{fleetTopic};
   for (const auto& [kind, service] : fleetPlanIn(fleet->table).kinds) wanted.insert(service.get());
   std::erase_if(topics_, [&](const auto& each) {
@@ -61,7 +61,7 @@
   for (const auto& topic : wanted) topics_[topic];
 }
 
-Task<void> NewsFollower::keepTopics() {
+Task<void> UpdateFollower::keepTopics() {
   for (;;) {
     followPlan();
     startAsks();
@@ -69,7 +69,7 @@
   }
 }
 
-const std::vector<Address>& NewsFollower::sourcesOf(const Topic& topic, Followed& followed) {
+const std::vector<Address>& UpdateFollower::sourcesOf(const Topic& topic, Followed& followed) {
   auto fleetMark = board_.mark(fleetTopic);
   if (followed.sources.empty() || followed.sourcesOf != fleetMark || clock_.now() - followed.sourcesAt > timings_.sourcesKept) {
     followed.sources = sources_(topic);
@@ -79,7 +79,7 @@
   return followed.sources;
 }
 
-std::optional<Address> NewsFollower::currentSource(const Topic& topic, Followed& followed) {
+std::optional<Address> UpdateFollower::currentSource(const Topic& topic, Followed& followed) {
   const auto& sources = sourcesOf(topic, followed);
   if (sources.empty()) return std::nullopt;
   bool over = clock_.now() - followed.firstTriedAt > timings_.returnToFirst;
@@ -92,18 +92,18 @@
   return sources.front();
 }
 
-NewsFollower::Standing NewsFollower::standing(const Address& source) const {
+UpdateFollower::Standing UpdateFollower::standing(const Address& source) const {
   auto found = standings_.find(source);
   return found == standings_.end() ? Standing{} : found->second;
 }
 
-bool NewsFollower::silent(const Address& source) const {
+bool UpdateFollower::silent(const Address& source) const {
   auto since = standing(source).silentAt;
   return since && clock_.now() - *since < timings_.returnToFirst;
 }
 
 // of the sources that were not tried yet the one that answered last, a silent one at the end
-Address NewsFollower::nextSource(const std::vector<Address>& sources, const std::set<Address>& failed) const {
+Address UpdateFollower::nextSource(const std::vector<Address>& sources, const std::set<Address>& failed) const {
   auto rank = [&](const Address& source) {
     return std::tuple(failed.contains(source), silent(source), -standing(source).answeredAt.time_since_epoch().count());
   };
@@ -112,12 +112,12 @@
   });
 }
 
-bool NewsFollower::superseded(const Address& source, std::uint64_t turn) const {
+bool UpdateFollower::superseded(const Address& source, std::uint64_t turn) const {
   auto found = turns_.find(source);
   return found == turns_.end() || found->second != turn;
 }
 
-void NewsFollower::startAsks() {
+void UpdateFollower::startAsks() {
   std::set<Address> needed;
   for (auto& [topic, followed] : topics_)
     if (auto source = currentSource(topic, followed); source && followed.asking != *source) needed.insert(*source);
@@ -127,7 +127,7 @@
   }
 }
 
-NewsFollower::Marks NewsFollower::marksFor(const Address& source, const std::optional<Address>& own) {
+UpdateFollower::Marks UpdateFollower::marksFor(const Address& source, const std::optional<Address>& own) {
   Marks have;
   for (auto& [topic, followed] : topics_)
     if (currentSource(topic, followed) == source) {
@@ -137,16 +137,17 @@
   return have;
 }
 
-FollowAsk NewsFollower::makeAsk(const Address& source, const Marks& have, std::optional<Address> own) {
-  FollowAsk ask;
-  ask.own = std::move(own);
-  ask.signs = timings_.signs;
+FollowRequest UpdateFollower::makeAsk(const Address& source, const Marks& have, std::optional<Address> own) {
+  FollowRequest ask;
+  ask.onlyNode = std::move(own);
+  ask.databaseReports = timings_.signs;
   ask.number = ++lastAsk_;
   auto shortest = Instant::max();
   for (const auto& [topic, mark] : have) {
     const auto& followed = topics_.at(topic);
     shortest = std::min(shortest, leaseUntil(topic).value_or(clock_.now()));
-    if (ask.signs && followed.signsReadAt && clock_.now() - *followed.signsReadAt < timings_.signsKept) ask.signsOf.insert(topic);
+    if (ask.databaseReports && followed.signsReadAt && clock_.now() - *followed.signsReadAt < timings_.signsKept)
+      ask.reportTopics.insert(topic);
   }
   ask.lease = shortest - clock_.now();
   auto told = told_.find(source);
@@ -156,17 +157,17 @@
                         return left.first == right.first;
                       });
   };
-  if (told == told_.end() || told->second.own != ask.own || !sameTopics()) {
-    ask.have = have;
+  if (told == told_.end() || told->second.own != ask.onlyNode || !sameTopics()) {
+    ask.knownMarks = have;
     return ask;
   }
-  ask.after = told->second.number;
+  ask.base = told->second.number;
   std::set_difference(have.begin(), have.end(), told->second.have.begin(), told->second.have.end(),
-                      std::inserter(ask.have, ask.have.end()));
+                      std::inserter(ask.knownMarks, ask.knownMarks.end()));
   return ask;
 }
 
-Task<void> NewsFollower::follow(Address source, std::uint64_t turn) {
+Task<void> UpdateFollower::follow(Address source, std::uint64_t turn) {
   while (!superseded(source, turn)) {
     auto own = own_();
     auto have = marksFor(source, own);
@@ -179,30 +180,30 @@
     journal_.count("news.asks");
     auto bytes = co_await desk_.askPatiently(source, "follow", packed(ask), timings_.patience, asked + timings_.longestReply);
     auto reply = bytes ? unpacked<FollowReply>(*bytes) : std::nullopt;
-    if (reply && reply->core) coreRepliedAt_ = clock_.now();
+    if (reply && reply->fromReplica) coreRepliedAt_ = clock_.now();
     told_.erase(source);
-    if (reply && reply->number == 0 && ask.after != 0) continue;
+    if (reply && reply->number == 0 && ask.base != 0) continue;
     bool remembers = reply && reply->number == ask.number;
     bool failed = false;
     standings_[source].silentAt = reply ? std::nullopt : std::optional{clock_.now()};
     for (const auto& [topic, mark] : have) {
       if (!topics_.contains(topic)) continue;
       if (reply) {
-        auto at = asked + std::min(reply->held, clock_.now() - asked);
+        auto at = asked + std::min(reply->heldFor, clock_.now() - asked);
         auto own = reply->topics.find(topic);
         auto before = board_.mark(topic);
-        if (own != reply->topics.end() ? board_.apply(topic, own->second, ask.own) : remembers) {
+        if (own != reply->topics.end() ? board_.apply(topic, own->second, ask.onlyNode) : remembers) {
           if (board_.mark(topic) != before) changed_.open();
           take(topic, source, at,
                own != reply->topics.end() ? std::move(own->second)
-                                          : TopicReply{FollowFate::changes, mark, {}, {}, reply->lease, {}, reply->position, {}});
+                                          : TopicReply{FollowResult::changes, mark, {}, {}, reply->lease, {}, reply->position, {}});
           continue;
         }
       }
       fail(topic, source);
       failed = true;
     }
-    if (remembers) told_[source] = Told{ask.number, std::move(have), ask.own};
+    if (remembers) told_[source] = Told{ask.number, std::move(have), ask.onlyNode};
     if (failed) journal_.count("news.attempts_failed");
     failures_ = failed ? std::min(failures_ + 1, 3u) : 0;
     co_await sleep(clock_, failed ? timings_.pause * failures_ : Duration{5ms});
@@ -210,7 +211,7 @@
   }
 }
 
-void NewsFollower::take(const Topic& topic, const Address& source, Instant at, TopicReply reply) {
+void UpdateFollower::take(const Topic& topic, const Address& source, Instant at, TopicReply reply) {
   auto& followed = topics_[topic];
   bool lapsed = !leaseUntil(topic);
   followed.failed.clear();
@@ -224,8 +225,8 @@
     return "a lease of " + std::to_string(milliseconds(reply.lease).count()) + " ms for " + topic + " from " + source.get();
   });
   followed.leaseUntil = std::max(followed.leaseUntil.value_or(Instant::min()), at + std::min(reply.lease, timings_.longestLease));
-  if (!reply.signs.empty()) {
-    followed.signs = std::move(reply.signs);
+  if (!reply.databaseReports.empty()) {
+    followed.signs = std::move(reply.databaseReports);
     followed.signsAt = at;
   }
   followed.takenAt = clock_.now();
@@ -233,7 +234,7 @@
   if (lapsed || !reply.table.empty() || !reply.changes.empty()) changed_.open();
 }
 
-void NewsFollower::fail(const Topic& topic, const Address& source) {
+void UpdateFollower::fail(const Topic& topic, const Address& source) {
   auto& followed = topics_[topic];
   if (currentSource(topic, followed) != source) return;
   const auto& sources = sourcesOf(topic, followed);
--- a/src/news/news_follower.hpp
+++ b/src/updates/update_follower.hpp
@@ -2,12 +2,12 @@
 
 #include "base/desk.hpp"
 #include "base/journal.hpp"
-#include "news/follow_timings.hpp"
-#include "news/news_feed.hpp"
+#include "updates/follow_timings.hpp"
+#include "updates/update_feed.hpp"
 
 namespace tamarindshift {
 
-class NewsFollower : public NewsFeed {
+class UpdateFollower : public UpdateFeed {
  public:
   using Marks = std::map<Topic, std::uint64_t>;
   using Sources = std::function<std::vector<Address>(const Topic&)>;
@@ -22,7 +22,7 @@
     Instant sourcesAt{};
     Address source;
     std::optional<Instant> leaseUntil;
-    std::vector<DatabaseSign> signs;
+    std::vector<DatabaseReport> signs;
     Instant signsAt{};
     // when somebody last looked at the signs
     std::optional<Instant> signsReadAt;
@@ -32,18 +32,18 @@
 
   // the node whose own entries are all that is wanted of those that concern one node; nothing if all are
   using Own = std::function<std::optional<Address>()>;
-  NewsFollower(
+  UpdateFollower(
       Clock& clock, Desk& desk, Journal& journal, Sources sources, FollowTimings timings, Own own = [] {
         return std::nullopt;
       });
-  const NewsBoard& board() const override { return board_; }
-  NewsBoard& board() { return board_; }
+  const UpdateStore& updates() const override { return board_; }
+  UpdateStore& updates() { return board_; }
   Gate& changed() override { return changed_; }
   Instant coreRepliedAt() const override { return coreRepliedAt_; }
   std::optional<Instant> leaseUntil(const Topic& topic) override;
-  std::vector<DatabaseSign> signs(const Topic& topic) override;
+  std::vector<DatabaseReport> databaseReports(const Topic& topic) override;
   std::uint64_t position(const Topic& topic) override;
-  bool answered(const Topic& topic) override;
+  bool sourceResponsive(const Topic& topic) override;
   const std::map<Topic, Followed>& topics() const { return topics_; }
 
  private:
@@ -51,7 +51,7 @@
   Task<void> keepTopics();
   Task<void> follow(Address source, std::uint64_t turn);
   Marks marksFor(const Address& source, const std::optional<Address>& own);
-  FollowAsk makeAsk(const Address& source, const Marks& have, std::optional<Address> own);
+  FollowRequest makeAsk(const Address& source, const Marks& have, std::optional<Address> own);
   void startAsks();
   void take(const Topic& topic, const Address& source, Instant at, TopicReply reply);
   void fail(const Topic& topic, const Address& source);
@@ -78,7 +78,7 @@
   Sources sources_;
   Own own_;
   FollowTimings timings_;
-  NewsBoard board_;
+  UpdateStore board_;
   std::map<Topic, Followed> topics_;
   // the mark of the plan that the topics were read from
   std::uint64_t topicsOf_ = 0;
--- a/src/news/news_messages.hpp
+++ b/src/updates/update_messages.hpp
@@ -5,12 +5,12 @@
 #include <vector>
 
 #include "base/address.hpp"
-#include "news/news_table.hpp"
+#include "updates/topic_table.hpp"
 #include "wire/pack.hpp"
 
 namespace tamarindshift {
 
-struct NewsChange {
+struct TopicChange {
   std::uint64_t mark = 0;
   std::string key;
   bool removed = false;
@@ -18,7 +18,7 @@
   MSGPACK_DEFINE(mark, key, removed, value)
 };
 
-struct DatabaseSign {
+struct DatabaseReport {
   std::string database;
   std::string role;
   std::uint64_t epoch = 0;
@@ -29,50 +29,50 @@
   MSGPACK_DEFINE(database, role, epoch, position, contactAge, age, leaving)
 };
 
-struct FollowAsk {
-  std::map<Topic, std::uint64_t> have;
-  bool signs = true;
+struct FollowRequest {
+  std::map<Topic, std::uint64_t> knownMarks;
+  bool databaseReports = true;
   // rises with each ask of a follower; 0 if the source needs to remember nothing
   std::uint64_t number = 0;
   // the ask that this one goes on from: topics that are not named are as they were there; 0 if all are named
-  std::uint64_t after = 0;
+  std::uint64_t base = 0;
   // of a numbered ask, the topics whose signs are wanted
-  std::set<Topic> signsOf;
+  std::set<Topic> reportTopics;
   // what is left of the shortest lease of the topics, below 0 if that is not told
   Duration lease{-1};
   // the node whose own entries are all that is wanted of those that concern one node
-  std::optional<Address> own;
-  MSGPACK_DEFINE(have, signs, number, after, signsOf, lease, own)
+  std::optional<Address> onlyNode;
+  MSGPACK_DEFINE(knownMarks, databaseReports, number, base, reportTopics, lease, onlyNode)
 };
 
-enum class FollowFate : std::uint8_t { changes = 0, snapshot = 1, notCurrent = 2 };
+enum class FollowResult : std::uint8_t { changes = 0, snapshot = 1, notCurrent = 2 };
 
 struct TopicReply {
-  FollowFate fate = FollowFate::notCurrent;
+  FollowResult result = FollowResult::notCurrent;
   std::uint64_t mark = 0;
-  NewsTable table;
-  std::vector<NewsChange> changes;
+  TopicTable table;
+  std::vector<TopicChange> changes;
   Duration lease{};
-  std::vector<DatabaseSign> signs;
+  std::vector<DatabaseReport> databaseReports;
   std::uint64_t position = 0;
   // of a snapshot, the entries of the plan, compressed, where they are many; `table` has the others
-  std::string wholePlan;
-  MSGPACK_DEFINE(fate, mark, table, changes, lease, signs, position, wholePlan)
+  std::string compressedPlan;
+  MSGPACK_DEFINE(result, mark, table, changes, lease, databaseReports, position, compressedPlan)
 };
 
 struct FollowReply {
   std::map<Topic, TopicReply> topics;
-  Duration held{};
+  Duration heldFor{};
   // whether a replica says so itself
-  bool core = false;
+  bool fromReplica = false;
   // the ask that the source remembers; 0 if it does not know the one that this ask went on from
   std::uint64_t number = 0;
   // what holds for topics that were asked for and are not named, for nothing is new there
   Duration lease{};
   std::uint64_t position = 0;
-  MSGPACK_DEFINE(topics, held, core, number, lease, position)
+  MSGPACK_DEFINE(topics, heldFor, fromReplica, number, lease, position)
 };
 
 }  // namespace tamarindshift
 
-MSGPACK_ADD_ENUM(tamarindshift::FollowFate)
+MSGPACK_ADD_ENUM(tamarindshift::FollowResult)
--- a/src/news/news_board.cpp
+++ b/src/updates/update_store.cpp
@@ -1,4 +1,4 @@
-#include "news/news_board.hpp"
+#include "updates/update_store.hpp"
 
 #include "wire/deflate.hpp"
 
@@ -18,32 +18,32 @@
 
 }  // namespace
 
-NewsBoard::Entry& NewsBoard::entry(const Topic& topic) {
+UpdateStore::TopicState& UpdateStore::entry(const Topic& topic) {
   auto& entry = entries_[topic];
-  if (!entry) entry = std::make_unique<Entry>();
+  if (!entry) entry = std::make_unique<TopicState>();
   return *entry;
 }
 
-const NewsBoard::Entry* NewsBoard::find(const Topic& topic) const {
+const UpdateStore::TopicState* UpdateStore::find(const Topic& topic) const {
   auto found = entries_.find(topic);
   return found == entries_.end() ? nullptr : found->second.get();
 }
 
-std::uint64_t NewsBoard::mark(const Topic& topic) const {
+std::uint64_t UpdateStore::mark(const Topic& topic) const {
   const auto* entry = find(topic);
   return entry ? entry->mark : 0;
 }
 
-std::uint64_t NewsBoard::completeMark(const Topic& topic, const std::optional<Address>& own) const {
+std::uint64_t UpdateStore::completeMark(const Topic& topic, const std::optional<Address>& own) const {
   const auto* entry = find(topic);
   return entry && (!entry->own || entry->own == own) ? entry->mark : 0;
 }
 
-void NewsBoard::change(Entry& entry, NewsChange change) {
+void UpdateStore::change(TopicState& entry, TopicChange change) {
   entry.mark = change.mark;
   if (ofPlan(change.key)) {
-    entry.planAt = change.mark;
-    entry.wholePlan.clear();
+    entry.planChangeMark = change.mark;
+    entry.compressedPlan.clear();
   }
   if (change.removed)
     entry.table.erase(change.key);
@@ -56,25 +56,25 @@
   }
 }
 
-void NewsBoard::publish(const Topic& topic, std::uint64_t mark, NewsTable table) {
+void UpdateStore::publish(const Topic& topic, std::uint64_t mark, TopicTable table) {
   auto& entry = this->entry(topic);
   if (mark <= entry.mark) return;
-  std::vector<NewsChange> changes;
+  std::vector<TopicChange> changes;
   for (const auto& [key, value] : table) {
     auto old = entry.table.find(key);
-    if (old == entry.table.end() || old->second != value) changes.push_back(NewsChange{mark, key, false, value});
+    if (old == entry.table.end() || old->second != value) changes.push_back(TopicChange{mark, key, false, value});
   }
   for (const auto& [key, value] : entry.table)
-    if (!table.contains(key)) changes.push_back(NewsChange{mark, key, true, {}});
+    if (!table.contains(key)) changes.push_back(TopicChange{mark, key, true, {}});
   if (changes.empty()) return;
   for (auto& each : changes) change(entry, std::move(each));
   changed_.open();
 }
 
-void NewsBoard::publishChanges(const Topic& topic, std::uint64_t mark, std::vector<NewsChange> changes) {
+void UpdateStore::publishChanges(const Topic& topic, std::uint64_t mark, std::vector<TopicChange> changes) {
   auto& entry = this->entry(topic);
   if (mark <= entry.mark) return;
-  std::erase_if(changes, [&](const NewsChange& each) {
+  std::erase_if(changes, [&](const TopicChange& each) {
     auto old = entry.table.find(each.key);
     return each.removed ? old == entry.table.end() : old != entry.table.end() && old->second == each.value;
   });
@@ -83,24 +83,24 @@
   changed_.open();
 }
 
-void NewsBoard::restore(const Topic& topic, std::uint64_t mark, NewsTable table) {
+void UpdateStore::restore(const Topic& topic, std::uint64_t mark, TopicTable table) {
   auto& entry = this->entry(topic);
-  entry.mark = entry.changesSince = entry.planAt = mark;
+  entry.mark = entry.changesSince = entry.planChangeMark = mark;
   entry.table = std::move(table);
-  entry.wholePlan.clear();
+  entry.compressedPlan.clear();
   entry.changes.clear();
   changed_.open();
 }
 
-bool NewsBoard::apply(const Topic& topic, const TopicReply& reply, const std::optional<Address>& own) {
+bool UpdateStore::apply(const Topic& topic, const TopicReply& reply, const std::optional<Address>& own) {
   auto& entry = this->entry(topic);
-  if (reply.fate == FollowFate::notCurrent || reply.mark < entry.mark) return false;
-  if (reply.fate == FollowFate::snapshot) {
+  if (reply.result == FollowResult::notCurrent || reply.mark < entry.mark) return false;
+  if (reply.result == FollowResult::snapshot) {
     if (reply.mark == entry.mark && (!entry.own || entry.own == own)) return true;
     auto table = reply.table;
-    if (!reply.wholePlan.empty()) {
-      auto bytes = inflated(reply.wholePlan, mostWholePlan);
-      auto plan = bytes ? unpacked<NewsTable>(*bytes) : std::nullopt;
+    if (!reply.compressedPlan.empty()) {
+      auto bytes = inflated(reply.compressedPlan, mostWholePlan);
+      auto plan = bytes ? unpacked<TopicTable>(*bytes) : std::nullopt;
       if (!plan) return false;
       table.merge(*plan);
     }
@@ -120,7 +120,7 @@
   return true;
 }
 
-bool NewsBoard::needsWhole(const Topic& topic, std::uint64_t have, std::size_t bytes) const {
+bool UpdateStore::needsLargeSnapshot(const Topic& topic, std::uint64_t have, std::size_t bytes) const {
   const auto* entry = find(topic);
   if (!entry || (have != 0 && have >= entry->changesSince)) return false;
   std::size_t size = 0;
@@ -129,34 +129,34 @@
   return false;
 }
 
-const std::string& NewsBoard::wholePlan(const Entry& entry) {
-  if (!entry.wholePlan.empty()) return entry.wholePlan;
-  NewsTable plan;
+const std::string& UpdateStore::compressedPlan(const TopicState& entry) {
+  if (!entry.compressedPlan.empty()) return entry.compressedPlan;
+  TopicTable plan;
   std::size_t size = 0;
   for (auto each = entry.table.lower_bound(planPrefix); each != entry.table.end() && ofPlan(each->first); ++each) {
     plan.insert(*each);
     size += each->first.size() + each->second.size();
   }
-  if (size >= leastWholePlan) entry.wholePlan = deflated(packed(plan));
-  return entry.wholePlan;
+  if (size >= leastWholePlan) entry.compressedPlan = deflated(packed(plan));
+  return entry.compressedPlan;
 }
 
-void NewsBoard::fill(const Topic& topic, std::uint64_t have, TopicReply& reply, const std::optional<Address>& own) const {
+void UpdateStore::fill(const Topic& topic, std::uint64_t have, TopicReply& reply, const std::optional<Address>& own) const {
   const auto* entry = find(topic);
   if (!entry || entry->mark < have || (entry->own && entry->own != own)) {
-    reply.fate = FollowFate::notCurrent;
+    reply.result = FollowResult::notCurrent;
     return;
   }
   reply.mark = entry->mark;
   if (have < entry->changesSince || have == 0) {
-    reply.fate = FollowFate::snapshot;
-    reply.wholePlan = wholePlan(*entry);
-    bool planApart = !reply.wholePlan.empty();
+    reply.result = FollowResult::snapshot;
+    reply.compressedPlan = compressedPlan(*entry);
+    bool planApart = !reply.compressedPlan.empty();
     for (const auto& [key, value] : entry->table)
       if (concerns(key, own) && !(planApart && ofPlan(key))) reply.table.emplace(key, value);
     return;
   }
-  reply.fate = FollowFate::changes;
+  reply.result = FollowResult::changes;
   for (const auto& each : entry->changes)
     if (each.mark > have && concerns(each.key, own)) reply.changes.push_back(each);
 }
--- a/src/news/zone_homes.hpp
+++ b/src/updates/zone_relays.hpp
@@ -3,21 +3,21 @@
 #include <vector>
 
 #include "base/address.hpp"
-#include "news/news_table.hpp"
+#include "updates/topic_table.hpp"
 
 namespace tamarindshift {
 
 // which agents of a zone follow replicas, and which of them another agent follows
-class ZoneHomes {
+class ZoneRelays {
  public:
-  ZoneHomes() = default;
+  ZoneRelays() = default;
   // agents of the zone in their agreed order
-  explicit ZoneHomes(std::vector<Address> agents) : agents_(std::move(agents)) {}
+  explicit ZoneRelays(std::vector<Address> agents) : agents_(std::move(agents)) {}
   const std::vector<Address>& agents() const { return agents_; }
-  bool home(const Address& agent) const;
+  bool isRelay(const Address& agent) const;
   // the homes of a topic that an agent follows, first the one that is to be asked first; none at the topic's home
-  std::vector<Address> of(const Topic& topic, const Address& follower) const;
-  static std::size_t spread(const std::string& text);
+  std::vector<Address> relaysFor(const Topic& topic, const Address& follower) const;
+  static std::size_t hash(const std::string& text);
 
  private:
   static constexpr std::size_t homesInGroup = 2;
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -287,7 +287,7 @@
 }
 
 TEST_CASE("enrolments are in the news and in the snapshot, also of services no plan names") {
-  NewsBoard board;
+  UpdateStore board;
   ControlState state(board);
   std::uint64_t position = 0;
   auto apply = [&]<class Body>(ControlMatter matter, const Body& body) {
@@ -309,7 +309,7 @@
   REQUIRE(table.contains("database/d1"));
   CHECK(unpacked<DatabaseNews>(table.at("database/d1"))->address == Address{"10.2.0.1:1"});
   CHECK(apply(ControlMatter::drainDatabase, DatabaseUpdate{ServiceName{"s2"}, DatabaseName{"d2"}, 0, 2, false}) == "held");
-  NewsBoard otherBoard;
+  UpdateStore otherBoard;
   ControlState other(otherBoard);
   REQUIRE(other.restore(state.snapshot()));
   CHECK(other.enrolled(ServiceName{"s2"}, DatabaseName{"d2"})->address == Address{"10.2.0.2:1"});
--- a/tests/invariant_checks_test.cpp
+++ b/tests/invariant_checks_test.cpp
@@ -6,7 +6,7 @@
 #include "control/plan_version_check.hpp"
 #include "control/share_check.hpp"
 #include "pooler/answer_check.hpp"
-#include "tests/check_trial.hpp"
+#include "tests/journal_fixture.hpp"
 
 using namespace tamarindshift;
 
@@ -21,7 +21,7 @@
 }  // namespace
 
 TEST_CASE("invariants: a kept write acknowledged without a lease or in another epoch is noticed") {
-  CheckTrial trial;
+  JournalFixture trial;
   AcknowledgementFacts facts;
   facts.keepsSomething = true;
   checkAcknowledgement(trial.journal, facts);
@@ -42,7 +42,7 @@
 }
 
 TEST_CASE("invariants: a statement that is held past its bound is noticed") {
-  CheckTrial trial;
+  JournalFixture trial;
   checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 1200ms, noon + 800ms}, somewhere);
   CHECK(trial.violations() == 0);
   checkAnsweredInTime(trial.journal, AnswerTimes{noon, noon + 9s, Instant::max()}, somewhere);
@@ -55,7 +55,7 @@
 }
 
 TEST_CASE("invariants: shares that sum past the cap of a branch are noticed, granted and reserved ones together") {
-  CheckTrial trial;
+  JournalFixture trial;
   const BranchName work{"work"};
   const ServiceName name{"s1"};
   PlanService planned;
@@ -83,7 +83,7 @@
 }
 
 TEST_CASE("invariants: a fence that falls, or a call by a node without duties, is noticed") {
-  CheckTrial trial;
+  JournalFixture trial;
   DutyEpochCheck fences(trial.journal);
   fences.note(3, true);
   fences.note(3, true);
@@ -99,7 +99,7 @@
 }
 
 TEST_CASE("invariants: a version that goes back is noticed once for each time") {
-  CheckTrial trial;
+  JournalFixture trial;
   PlanVersionCheck versions(trial.journal);
   CHECK_FALSE(versions.note(PlanMark{4}));
   CHECK(versions.note(PlanMark{4}));
--- a/tests/invariant_test.cpp
+++ b/tests/invariant_test.cpp
@@ -1,14 +1,14 @@
 #include <catch2/catch.hpp>
 
 #include "pooler/sending_check.hpp"
-#include "tests/check_trial.hpp"
+#include "tests/journal_fixture.hpp"
 #include "tests/pooler_trial.hpp"
 
 using namespace tamarindshift;
 
 namespace {
 
-struct Trial : CheckTrial {
+struct Trial : JournalFixture {
   SendingFacts sound() const {
     SendingFacts facts;
     facts.keepsSomething = true;
@@ -18,7 +18,7 @@
   /// Checks what is sent and takes the violations back, which would fail the case otherwise.
   std::size_t violations(const SendingFacts& facts) {
     checkSending(journal, facts, 7s);
-    return CheckTrial::violations();
+    return JournalFixture::violations();
   }
 };
 
--- a/tests/check_trial.hpp
+++ b/tests/journal_fixture.hpp
@@ -5,7 +5,7 @@
 namespace tamarindshift {
 
 /// A journal of its own for a check, with the lines it told.
-struct CheckTrial {
+struct JournalFixture {
   std::vector<std::string> lines;
   SimulatedJournal journal{"node", [this](const std::string& text) {
                              lines.push_back(text);
--- a/tests/plan_news_test.cpp
+++ b/tests/plan_news_test.cpp
@@ -29,12 +29,12 @@
   std::size_t bytesSince(const Topic& topic, std::uint64_t mark) const {
     TopicReply reply;
     board.fill(topic, mark, reply);
-    CHECK(reply.fate == FollowFate::changes);
+    CHECK(reply.result == FollowResult::changes);
     std::size_t bytes = 0;
     for (const auto& change : reply.changes) bytes += change.value.size();
     return bytes;
   }
-  NewsBoard board;
+  UpdateStore board;
   ControlState state;
   std::uint64_t position = 0;
 };
@@ -55,8 +55,8 @@
 
 TEST_CASE("plan news: followers that get the changes hold what those that start anew get") {
   Replica replica;
-  NewsBoard follower;
-  auto follow = [&](NewsBoard& board, const Topic& topic) {
+  UpdateStore follower;
+  auto follow = [&](UpdateStore& board, const Topic& topic) {
     TopicReply reply;
     replica.board.fill(topic, board.mark(topic), reply);
     CHECK(board.apply(topic, reply));
@@ -67,7 +67,7 @@
                             kind("k4", "s1", 1) + "," + kind("k1", "s2", 5)}) {
     replica.take(planOf(++mark, kinds));
     for (const auto& topic : {fleetTopic, Topic{"s1"}, Topic{"s2"}}) {
-      NewsBoard fresh;
+      UpdateStore fresh;
       CHECK(follow(follower, topic) == follow(fresh, topic));
     }
   }
--- a/tests/platform/adapter_programs.cpp
+++ b/tests/platform/adapter_programs.cpp
@@ -10,7 +10,7 @@
       link_(process.network(), process.clock(), process.machine().internal()),
       boot_(process.world().below(std::uint64_t{1} << 62)),
       agent_(process.clock(), link_, process.journal(), agentSettings(process), boot_),
-      guide_(process.clock(), wrapped<NewsFeed>(wraps_.feed, agent_, feed_), process.machine().internal(), boot_),
+      guide_(process.clock(), wrapped<UpdateFeed>(wraps_.feed, agent_, feed_), process.machine().internal(), boot_),
       wireBackEnds_(process.lines(), "pooler"),
       pooler_(process.clock(), guide_, wrapped<BackEnds>(wraps_.backEnds, wireBackEnds_, backEnds_), process.journal(),
               poolerSettings(process), boot_,
--- a/tests/platform/adapter_programs.hpp
+++ b/tests/platform/adapter_programs.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "news/agent_node.hpp"
+#include "updates/agent_node.hpp"
 #include "platform/control_door.hpp"
 #include "platform/front_door.hpp"
 #include "platform/readiness_door.hpp"
@@ -29,8 +29,8 @@
   SimulatedLink link_;
   std::uint64_t boot_;
   AgentNode agent_;
-  std::unique_ptr<NewsFeed> feed_;
-  Guide guide_;
+  std::unique_ptr<UpdateFeed> feed_;
+  ServiceDirectory guide_;
   platform::WireBackEnds wireBackEnds_;
   std::unique_ptr<BackEnds> backEnds_;
   Pooler pooler_;
--- a/tests/platform/adapter_settings.cpp
+++ b/tests/platform/adapter_settings.cpp
@@ -30,7 +30,7 @@
   settings.address = process.machine().internal();
   settings.zone = Zone{process.machine().zone};
   settings.seeds = peers(process);
-  settings.signs = false;
+  settings.databaseReports = false;
   settings.timings = timings(process);
   return settings;
 }
--- a/tests/platform/adapter_settings.hpp
+++ b/tests/platform/adapter_settings.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "control/replica_settings.hpp"
-#include "news/agent_settings.hpp"
+#include "updates/agent_settings.hpp"
 #include "pooler/pooler_settings.hpp"
 #include "tests/platform/platform_process.hpp"
 
--- a/tests/platform/adapter_wraps.hpp
+++ b/tests/platform/adapter_wraps.hpp
@@ -4,7 +4,7 @@
 #include <memory>
 
 #include "edge/door.hpp"
-#include "news/news_feed.hpp"
+#include "updates/update_feed.hpp"
 #include "pooler/back_end.hpp"
 #include "store/stable_store.hpp"
 
@@ -13,7 +13,7 @@
 // what a test lays between the parts of the adapter's programs to break a rule; each may be left out
 struct AdapterWraps {
   std::function<std::unique_ptr<BackEnds>(BackEnds&)> backEnds;
-  std::function<std::unique_ptr<NewsFeed>(NewsFeed&)> feed;
+  std::function<std::unique_ptr<UpdateFeed>(UpdateFeed&)> feed;
   std::function<std::unique_ptr<DatabaseControl>(DatabaseControl&)> databases;
   std::function<std::unique_ptr<DoorKeeper>(DoorKeeper&)> control;
   std::function<std::unique_ptr<StableStore>(StableStore&)> store;
--- a/tests/platform/broken_adapters.cpp
+++ b/tests/platform/broken_adapters.cpp
@@ -50,20 +50,20 @@
   std::optional<DatabaseTarget> seen_;
 };
 
-class EndlessLeases : public NewsFeed {
+class EndlessLeases : public UpdateFeed {
  public:
-  EndlessLeases(NewsFeed& own, Clock& clock) : own_(own), clock_(clock) {}
-  const NewsBoard& board() const override { return own_.board(); }
+  EndlessLeases(UpdateFeed& own, Clock& clock) : own_(own), clock_(clock) {}
+  const UpdateStore& updates() const override { return own_.updates(); }
   Gate& changed() override { return own_.changed(); }
   std::optional<Instant> leaseUntil(const Topic& topic) override {
     auto until = own_.leaseUntil(topic);
-    return until || own_.board().find(topic) ? std::optional{clock_.now() + 2s} : std::nullopt;
+    return until || own_.updates().find(topic) ? std::optional{clock_.now() + 2s} : std::nullopt;
   }
-  std::vector<DatabaseSign> signs(const Topic& topic) override { return own_.signs(topic); }
+  std::vector<DatabaseReport> databaseReports(const Topic& topic) override { return own_.databaseReports(topic); }
   std::uint64_t position(const Topic& topic) override { return own_.position(topic); }
 
  private:
-  NewsFeed& own_;
+  UpdateFeed& own_;
   Clock& clock_;
 };
 
@@ -114,10 +114,10 @@
 class DatabasesMisled : public DatabaseControl {
  public:
   explicit DatabasesMisled(DatabaseControl& own) : own_(own) {}
-  Task<std::optional<DatabaseStanding>> status(DatabaseTarget target, Instant deadline) override {
+  Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) override {
     return own_.status(std::move(target), deadline);
   }
-  Task<std::optional<DatabaseStanding>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override {
+  Task<std::optional<DatabaseStatus>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override {
     return own_.demote(std::move(target), epoch, deadline);
   }
   Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) override {
@@ -131,7 +131,7 @@
 class EmptiestChosen : public DatabasesMisled {
  public:
   using DatabasesMisled::DatabasesMisled;
-  Task<std::optional<DatabaseStanding>> status(DatabaseTarget target, Instant deadline) override {
+  Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) override {
     auto standing = co_await own_.status(std::move(target), deadline);
     if (standing) standing->position = Position{1'000'000'000 - standing->position.get()};
     co_return standing;
@@ -185,7 +185,7 @@
 
 AdapterWraps checksNoLease(Clock& clock) {
   AdapterWraps wraps;
-  wraps.feed = [&clock](NewsFeed& own) {
+  wraps.feed = [&clock](UpdateFeed& own) {
     return std::make_unique<EndlessLeases>(own, clock);
   };
   return wraps;
--- a/tests/platform/configuration_check_test.cpp
+++ b/tests/platform/configuration_check_test.cpp
@@ -3,13 +3,13 @@
 #include <catch2/catch.hpp>
 
 #include "platform/configuration_check.hpp"
-#include "tests/check_trial.hpp"
+#include "tests/journal_fixture.hpp"
 
 using namespace tamarindshift;
 using namespace tamarindshift::platform;
 
 TEST_CASE("invariants: an acknowledged version that is not green here is noticed") {
-  CheckTrial trial;
+  JournalFixture trial;
   checkAcknowledgedVersion(trial.journal, PlanMark{4}, PlanMark{4});
   checkAcknowledgedVersion(trial.journal, PlanMark{4}, PlanMark{7});
   CHECK(trial.violations() == 0);
@@ -20,7 +20,7 @@
 }
 
 TEST_CASE("invariants: a read without a fresh proof, or older than what was acknowledged, is noticed") {
-  CheckTrial trial;
+  JournalFixture trial;
   ReadFacts facts;
   facts.version = PlanMark{7};
   facts.acknowledged = PlanMark{7};
--- a/tests/platform/line_door_trial.hpp
+++ b/tests/platform/line_door_trial.hpp
@@ -80,7 +80,7 @@
   ScriptedNews news{clock};
   Address node{"10.1.0.1:1"};
   std::uint64_t boot = 5;
-  Guide guide{clock, news, node, boot};
+  ServiceDirectory guide{clock, news, node, boot};
   ScriptedBackEnds backEnds{clock};
   SimulatedJournal journal{"pooler", [](const std::string&) {}};
   Pooler pooler{clock, guide, backEnds, journal, settings(), boot, [](NodeReport) {}};
--- a/tests/pooler_trial.hpp
+++ b/tests/pooler_trial.hpp
@@ -96,7 +96,7 @@
   World world;
   SimulatedClock clock;
   ScriptedNews news;
-  Guide guide;
+  ServiceDirectory guide;
   SimulatedJournal journal;
   ScriptedBackEnds backEnds;
   PoolerSettings settings;
--- a/tests/promotion_proof_test.cpp
+++ b/tests/promotion_proof_test.cpp
@@ -9,8 +9,8 @@
 constexpr Instant acceptedAt{100s};
 constexpr Duration effectWithin = 2s;
 
-DatabaseStanding standing(const char* role, std::uint64_t term) {
-  return DatabaseStanding{role, Epoch{term}, Position{7}, {}, Epoch{term}};
+DatabaseStatus standing(const char* role, std::uint64_t term) {
+  return DatabaseStatus{role, Epoch{term}, Position{7}, {}, Epoch{term}};
 }
 
 }  // namespace
--- a/tests/rationing_test.cpp
+++ b/tests/rationing_test.cpp
@@ -122,7 +122,7 @@
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.ration(2).has_value();
   }));
-  NewsBoard board;
+  UpdateStore board;
   ControlState restored(board);
   REQUIRE(restored.restore(cluster.replica(2).state().snapshot()));
   CHECK(restored.services().at(s1).rations.at(d1) == *cluster.ration(2));
--- a/tests/report_book_test.cpp
+++ b/tests/report_tracker_test.cpp
@@ -3,7 +3,7 @@
 #include <random>
 
 #include "control/access_tables.hpp"
-#include "news/report_book.hpp"
+#include "updates/report_tracker.hpp"
 
 using namespace tamarindshift;
 
@@ -23,40 +23,40 @@
 }  // namespace
 
 TEST_CASE("a replica is told the whole report once and then what changed since it was last told") {
-  ReportBook book(20s);
+  ReportTracker book(20s);
   Instant now{};
-  REQUIRE(book.note(reportOf(7, {{"s1", 1}, {"s2", 1}})));
-  auto first = unpacked<NodeReport>(book.tell(replica, now));
+  REQUIRE(book.record(reportOf(7, {{"s1", 1}, {"s2", 1}})));
+  auto first = unpacked<NodeReport>(book.nextMessage(replica, now));
   CHECK(first->whole);
   CHECK(first->services.size() == 2);
-  REQUIRE(book.note(reportOf(7, {{"s1", 1}, {"s2", 1}})));
-  auto quiet = unpacked<NodeReport>(book.tell(replica, now));
+  REQUIRE(book.record(reportOf(7, {{"s1", 1}, {"s2", 1}})));
+  auto quiet = unpacked<NodeReport>(book.nextMessage(replica, now));
   CHECK_FALSE(quiet->whole);
   CHECK(quiet->services.empty());
-  REQUIRE(book.note(reportOf(7, {{"s1", 1}, {"s2", 5}})));
-  REQUIRE(book.note(reportOf(7, {{"s1", 1}, {"s2", 5}})));
-  auto changed = unpacked<NodeReport>(book.tell(replica, now));
+  REQUIRE(book.record(reportOf(7, {{"s1", 1}, {"s2", 5}})));
+  REQUIRE(book.record(reportOf(7, {{"s1", 1}, {"s2", 5}})));
+  auto changed = unpacked<NodeReport>(book.nextMessage(replica, now));
   CHECK(changed->after == quiet->number);
   CHECK(changed->services.size() == 1);
   CHECK(changed->services.at(ServiceName{"s2"}).followed == 5);
-  CHECK(unpacked<NodeReport>(book.tell(other, now))->whole);
-  CHECK(unpacked<NodeReport>(book.tell(replica, now + 21s))->whole);
+  CHECK(unpacked<NodeReport>(book.nextMessage(other, now))->whole);
+  CHECK(unpacked<NodeReport>(book.nextMessage(replica, now + 21s))->whole);
 }
 
 TEST_CASE("a report of a node that started again, or that leaves a service out, is told whole") {
-  ReportBook book(20s);
+  ReportTracker book(20s);
   Instant now{};
-  REQUIRE(book.note(reportOf(7, {{"s1", 1}, {"s2", 1}})));
-  book.tell(replica, now);
-  REQUIRE(book.note(reportOf(8, {{"s1", 1}, {"s2", 1}})));
-  CHECK(unpacked<NodeReport>(book.tell(replica, now))->whole);
-  REQUIRE(book.note(reportOf(8, {{"s1", 1}})));
-  auto fewer = unpacked<NodeReport>(book.tell(replica, now));
+  REQUIRE(book.record(reportOf(7, {{"s1", 1}, {"s2", 1}})));
+  book.nextMessage(replica, now);
+  REQUIRE(book.record(reportOf(8, {{"s1", 1}, {"s2", 1}})));
+  CHECK(unpacked<NodeReport>(book.nextMessage(replica, now))->whole);
+  REQUIRE(book.record(reportOf(8, {{"s1", 1}})));
+  auto fewer = unpacked<NodeReport>(book.nextMessage(replica, now));
   CHECK(fewer->whole);
   CHECK(fewer->services.size() == 1);
   auto partial = reportOf(9, {});
   partial.whole = false;
-  CHECK_FALSE(book.note(partial));
+  CHECK_FALSE(book.record(partial));
 }
 
 TEST_CASE("a replica that missed a report or started again asks for a whole one and holds what the node said last") {
@@ -66,7 +66,7 @@
     auto below = [&](unsigned bound) {
       return static_cast<unsigned>(random() % bound);
     };
-    ReportBook book(20s);
+    ReportTracker book(20s);
     auto access = std::make_unique<AccessTables>();
     Instant now{};
     std::uint64_t boot = 1;
@@ -77,14 +77,14 @@
       std::map<std::string, std::uint64_t> followed;
       for (unsigned service = 0; service < 4; ++service)
         if (below(20) != 0) followed["s" + std::to_string(service)] = below(3);
-      REQUIRE(book.note(reportOf(boot, followed)));
-      auto bytes = book.tell(replica, now);
+      REQUIRE(book.record(reportOf(boot, followed)));
+      auto bytes = book.nextMessage(replica, now);
       if (below(10) == 0) continue;
       auto report = *unpacked<NodeReport>(bytes);
       if (access->misses(report)) {
         access->noteReport(report, now);
-        book.forget(replica);
-        report = *unpacked<NodeReport>(book.tell(replica, now));
+        book.sendWholeNext(replica);
+        report = *unpacked<NodeReport>(book.nextMessage(replica, now));
         CHECK(report.whole);
       }
       CHECK_FALSE(access->misses(report));
--- a/tests/scripted_databases.cpp
+++ b/tests/scripted_databases.cpp
@@ -43,14 +43,14 @@
   co_return found->second.up && !found->second.dark;
 }
 
-Task<std::optional<DatabaseStanding>> ScriptedDatabases::status(DatabaseTarget target, Instant deadline) {
+Task<std::optional<DatabaseStatus>> ScriptedDatabases::status(DatabaseTarget target, Instant deadline) {
   ++databases_[target.database].statusCalls;
   bool answered = co_await answers(target.database, deadline);
   if (!answered) co_return std::nullopt;
   co_return standing(databases_[target.database]);
 }
 
-Task<std::optional<DatabaseStanding>> ScriptedDatabases::demote(DatabaseTarget target, Epoch epoch, Instant deadline) {
+Task<std::optional<DatabaseStatus>> ScriptedDatabases::demote(DatabaseTarget target, Epoch epoch, Instant deadline) {
   bool answered = co_await answers(target.database, deadline);
   if (!answered) co_return std::nullopt;
   auto& own = databases_[target.database];
--- a/tests/scripted_databases.hpp
+++ b/tests/scripted_databases.hpp
@@ -42,8 +42,8 @@
   std::uint64_t statusCalls() const;
   const std::vector<DutyHolder>& holders() const { return holders_; }
 
-  Task<std::optional<DatabaseStanding>> status(DatabaseTarget target, Instant deadline) override;
-  Task<std::optional<DatabaseStanding>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override;
+  Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) override;
+  Task<std::optional<DatabaseStatus>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override;
   Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) override;
 
  private:
@@ -51,8 +51,8 @@
   Task<void> lead(DatabaseName name);
   Task<void> pass(DatabaseHeartbeat heartbeat);
   Task<bool> answers(DatabaseName name, Instant deadline);
-  DatabaseStanding standing(const Database& database) const {
-    return DatabaseStanding{database.heartbeat.role, database.place.epoch, database.place.position, {}, database.term()};
+  DatabaseStatus standing(const Database& database) const {
+    return DatabaseStatus{database.heartbeat.role, database.place.epoch, database.place.position, {}, database.term()};
   }
 
   Clock& clock_;
--- a/tests/scripted_news.hpp
+++ b/tests/scripted_news.hpp
@@ -3,12 +3,12 @@
 #include <set>
 
 #include "control/plan_news.hpp"
-#include "news/news_feed.hpp"
+#include "updates/update_feed.hpp"
 
 namespace tamarindshift {
 
 // news that a test publishes itself, under a lease that goes on until the test ends it
-class ScriptedNews : public NewsFeed {
+class ScriptedNews : public UpdateFeed {
  public:
   explicit ScriptedNews(Clock& clock) : clock_(clock) {}
 
@@ -16,11 +16,11 @@
     if (ended_.contains(topic)) return std::nullopt;
     return clock_.now() + 2s;
   }
-  std::vector<DatabaseSign> signs(const Topic&) override { return {}; }
+  std::vector<DatabaseReport> databaseReports(const Topic&) override { return {}; }
   std::uint64_t position(const Topic&) override { return position_; }
-  const NewsBoard& board() const override { return board_; }
+  const UpdateStore& updates() const override { return board_; }
   Gate& changed() override { return board_.changed(); }
-  Instant coreRepliedAt() const override { return replicasReply ? clock_.now() : NewsFeed::coreRepliedAt(); }
+  Instant coreRepliedAt() const override { return replicasReply ? clock_.now() : UpdateFeed::coreRepliedAt(); }
   /// Replicas reply, with a lease or without one.
   bool replicasReply = false;
 
@@ -52,8 +52,8 @@
   void publish(const Topic& topic) { board_.publish(topic, ++position_, tables_[topic]); }
 
   Clock& clock_;
-  NewsBoard board_;
-  std::map<Topic, NewsTable> tables_;
+  UpdateStore board_;
+  std::map<Topic, TopicTable> tables_;
   std::set<Topic> ended_;
   std::uint64_t position_ = 0;
 };
--- a/tests/news_test.cpp
+++ b/tests/update_follower_test.cpp
@@ -2,9 +2,9 @@
 
 #include "control/control_state.hpp"
 #include "control/plan_news.hpp"
-#include "news/news_desk.hpp"
-#include "news/news_follower.hpp"
-#include "pool/guide.hpp"
+#include "updates/update_server.hpp"
+#include "updates/update_follower.hpp"
+#include "proxy/service_directory.hpp"
 #include "simulated/simulated_clock.hpp"
 #include "simulated/simulated_journal.hpp"
 #include "simulated/simulated_link.hpp"
@@ -13,31 +13,31 @@
 
 namespace {
 
-struct Source : NewsSource {
+struct Source : UpdateSource {
   Source(World& world, SimulatedNetwork& network, const std::string& host)
       : clock(world), link(network, clock, Address{host + ":1"}), desk(clock, link, 1), news(clock, desk, board, *this, 250ms) {}
   std::optional<Instant> leaseUntil(const Topic& topic) override {
     return without.contains(topic) ? std::nullopt : std::optional{clock.now() + 2s};
   }
-  std::vector<DatabaseSign> signs(const Topic&) override { return {}; }
+  std::vector<DatabaseReport> databaseReports(const Topic&) override { return {}; }
   std::uint64_t position(const Topic&) override { return at; }
   void publish(const Topic& topic, const std::string& key, const std::string& value) {
-    board.publish(topic, ++at, NewsTable{{key, value}});
+    board.publish(topic, ++at, TopicTable{{key, value}});
   }
   SimulatedClock clock;
   SimulatedLink link;
   Desk desk;
-  NewsBoard board;
+  UpdateStore board;
   std::set<Topic> without;
   std::uint64_t at = 0;
-  NewsDesk news;
+  UpdateServer news;
 };
 
-NewsTable planOf(const std::set<std::string>& services) {
+TopicTable planOf(const std::set<std::string>& services) {
   FleetPlanNews news;
   news.mark = PlanMark{1};
   for (const auto& service : services) news.kinds[KindName{"k" + service}] = ServiceName{service};
-  NewsTable table;
+  TopicTable table;
   layPlan(table, news);
   return table;
 }
@@ -75,16 +75,16 @@
   SimulatedLink link;
   Desk desk;
   SimulatedJournal journal;
-  NewsFollower follower;
+  UpdateFollower follower;
 };
 
-struct FixedFeed : NewsFeed {
-  const NewsBoard& board() const override { return own; }
+struct FixedFeed : UpdateFeed {
+  const UpdateStore& updates() const override { return own; }
   Gate& changed() override { return gate; }
   std::optional<Instant> leaseUntil(const Topic&) override { return Instant::max(); }
-  std::vector<DatabaseSign> signs(const Topic&) override { return {}; }
+  std::vector<DatabaseReport> databaseReports(const Topic&) override { return {}; }
   std::uint64_t position(const Topic&) override { return at; }
-  NewsBoard own;
+  UpdateStore own;
   Gate gate;
   std::uint64_t at = 0;
 };
@@ -103,7 +103,7 @@
   CHECK(later - asks <= 42);
   following.first.publish("s2", "a", "2");
   following.run(10ms);
-  CHECK(following.follower.board().find("s2")->table.at("a") == "2");
+  CHECK(following.follower.updates().find("s2")->table.at("a") == "2");
 }
 
 TEST_CASE("a topic whose source is not current moves to the next source, the others stay") {
@@ -143,19 +143,19 @@
 TEST_CASE("a follower that no source answers any more says so long before its lease ends") {
   Following following;
   following.run(1s);
-  CHECK(following.follower.answered("s1"));
+  CHECK(following.follower.sourceResponsive("s1"));
   following.network.cut("10.0.0.1", "10.1.0.1");
   for (int step = 0; step < 50; ++step) {
     following.run(20ms);
-    REQUIRE(following.follower.answered("s1"));
+    REQUIRE(following.follower.sourceResponsive("s1"));
   }
   for (const auto* host : {"10.0.0.2", "10.0.0.3"}) following.network.cut(host, "10.1.0.1");
   following.run(1s);
   CHECK(following.follower.leaseUntil("s1"));
-  CHECK_FALSE(following.follower.answered("s1"));
+  CHECK_FALSE(following.follower.sourceResponsive("s1"));
   following.network.heal("10.0.0.2", "10.1.0.1");
   following.run(3 * (450ms + 150ms));
-  CHECK(following.follower.answered("s1"));
+  CHECK(following.follower.sourceResponsive("s1"));
 }
 
 TEST_CASE("a topic's lease counts from when its source spoke, and a held ask does not cost it") {
@@ -174,7 +174,7 @@
   World world(1);
   SimulatedClock clock(world);
   FixedFeed feed;
-  Guide guide(clock, feed, Address{"10.1.0.1:1"}, 8);
+  ServiceDirectory guide(clock, feed, Address{"10.1.0.1:1"}, 8);
   auto fleet = [&](std::uint64_t mark, std::uint64_t boot, std::uint64_t enrolledAt) {
     auto table = planOf({"s1"});
     table["node/10.1.0.1:1"] = packed(NodeNews{Zone{"z1"}, false, {}, boot, enrolledAt});
@@ -183,7 +183,8 @@
   };
   ShareNews share{{{BranchName{"b"}, 4}}};
   feed.own.publish(
-      "s1", 2, NewsTable{{"share/10.1.0.1:1", packed(share)}, {"database/d1", packed(DatabaseNews{Address{"10.2.0.1:1"}, Zone{"z1"}, 5})}});
+      "s1", 2,
+      TopicTable{{"share/10.1.0.1:1", packed(share)}, {"database/d1", packed(DatabaseNews{Address{"10.2.0.1:1"}, Zone{"z1"}, 5})}});
   feed.at = 3;
   fleet(3, 7, 1);
   CHECK(guide.service(ServiceName{"s1"})->share.most.empty());
--- a/tests/news_restored_test.cpp
+++ b/tests/update_restore_test.cpp
@@ -29,7 +29,7 @@
   void drainOf(const std::string& node, std::uint64_t boot) {
     take(ControlMatter::drainNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
   }
-  NewsBoard board;
+  UpdateStore board;
   ControlState state;
   std::uint64_t position = 0;
 };
@@ -38,10 +38,10 @@
     R"({"mark":1,"services":{"s1":{"discovery":"heartbeats","quota":{"connections":10,"branches":{"work":{"connections":10,"order":1}}}}},
 "kinds":{"k1":{"service":"s1","branch":"work","consistency":"primary"}}})";
 
-void follow(NewsBoard& follower, const NewsBoard& source, const Topic& topic) {
+void follow(UpdateStore& follower, const UpdateStore& source, const Topic& topic) {
   TopicReply reply;
   source.fill(topic, follower.mark(topic), reply);
-  CHECK(reply.fate != FollowFate::notCurrent);
+  CHECK(reply.result != FollowResult::notCurrent);
   CHECK(follower.apply(topic, reply));
 }
 
@@ -58,7 +58,7 @@
     CAPTURE(topic);
     CHECK(restored.board.mark(topic) == entry->mark);
   }
-  NewsBoard follower;
+  UpdateStore follower;
   follow(follower, restored.board, "s1");
   follow(follower, ordered.board, "s1");
 }
@@ -68,7 +68,7 @@
   ordered.take(ControlMatter::plan, packed(PlanUpdate{plan}));
   ordered.enrol("10.0.0.1:1", 1);
   ordered.enrol("10.0.0.2:1", 2);
-  NewsBoard follower;
+  UpdateStore follower;
   follow(follower, ordered.board, fleetTopic);
   REQUIRE(follower.find(fleetTopic)->table.contains("node/10.0.0.2:1"));
   ordered.remove("10.0.0.2:1", 2);
--- a/tests/news_desk_test.cpp
+++ b/tests/update_server_test.cpp
@@ -1,8 +1,8 @@
 #include <catch2/catch.hpp>
 
 #include "control/plan_news.hpp"
-#include "news/news_desk.hpp"
-#include "news/news_follower.hpp"
+#include "updates/update_server.hpp"
+#include "updates/update_follower.hpp"
 #include "scale/metered_link.hpp"
 #include "simulated/simulated_clock.hpp"
 #include "simulated/simulated_journal.hpp"
@@ -15,33 +15,33 @@
 constexpr std::size_t services = 40;
 const Address sourceAt{"10.0.0.1:1"};
 
-NewsTable planNews() {
+TopicTable planNews() {
   FleetPlanNews news;
   news.mark = PlanMark{1};
   for (std::size_t number = 1; number <= services; ++number)
     news.kinds[KindName{"k" + std::to_string(number)}] = ServiceName{"s" + std::to_string(number)};
-  NewsTable table;
+  TopicTable table;
   layPlan(table, news);
   return table;
 }
 
 // a source whose leases last for `lease`, and which may start again without its memory
-struct Source : NewsSource {
+struct Source : UpdateSource {
   Source(World& world, SimulatedNetwork& network) : clock(world), link(network, clock, sourceAt) { start(); }
   void start() {
     desk.reset();
     desk = std::make_unique<Desk>(clock, link, static_cast<std::uint64_t>(clock.now().time_since_epoch().count()));
-    news = std::make_unique<NewsDesk>(clock, *desk, board, *this, 150ms);
+    news = std::make_unique<UpdateServer>(clock, *desk, board, *this, 150ms);
   }
   std::optional<Instant> leaseUntil(const Topic& topic) override {
     if (without.contains(topic)) return std::nullopt;
     return clock.now() + (shorter.contains(topic) ? lease / 2 : lease);
   }
-  std::vector<DatabaseSign> signs(const Topic& topic) override {
+  std::vector<DatabaseReport> databaseReports(const Topic& topic) override {
     ++signsAsked;
-    return {DatabaseSign{"d1 of " + topic, "replica", 1, 1, 0ms, 0ms, false}};
+    return {DatabaseReport{"d1 of " + topic, "replica", 1, 1, 0ms, 0ms, false}};
   }
-  bool core() const override { return isCore; }
+  bool isReplica() const override { return actsAsReplica; }
   std::uint64_t position(const Topic&) override { return at; }
   void publish(const Topic& topic, const std::string& key, const std::string& value) {
     tables[topic][key] = value;
@@ -50,15 +50,15 @@
   SimulatedClock clock;
   SimulatedLink link;
   std::unique_ptr<Desk> desk;
-  NewsBoard board;
-  std::map<Topic, NewsTable> tables;
+  UpdateStore board;
+  std::map<Topic, TopicTable> tables;
   std::set<Topic> without;
   std::set<Topic> shorter;
   Duration lease = 1600ms;
   std::uint64_t at = 0;
-  bool isCore = false;
+  bool actsAsReplica = false;
   std::size_t signsAsked = 0;
-  std::unique_ptr<NewsDesk> news;
+  std::unique_ptr<UpdateServer> news;
 };
 
 struct Following {
@@ -99,7 +99,7 @@
   MeteredLink counted;
   Desk desk;
   SimulatedJournal journal;
-  NewsFollower follower;
+  UpdateFollower follower;
 };
 
 }  // namespace
@@ -121,7 +121,7 @@
   }
   following.source.publish("s7", "a", "2");
   following.run(10ms);
-  CHECK(following.follower.board().find("s7")->table.at("a") == "2");
+  CHECK(following.follower.updates().find("s7")->table.at("a") == "2");
 }
 
 TEST_CASE("invariants: a source that gives a lease beyond its duration is noticed, and its lease is cut") {
@@ -152,7 +152,7 @@
 TEST_CASE("a replica without a lease answers as soon as it has one again") {
   for (auto wait : {0ms, 37ms, 80ms, 120ms}) {
     Following following;
-    following.source.isCore = true;
+    following.source.actsAsReplica = true;
     following.run(2s);
     for (const auto& topic : Following::topics()) following.source.without.insert(topic);
     following.source.without.insert(fleetTopic);
@@ -167,10 +167,10 @@
 TEST_CASE("signs come for topics that somebody looks at, and no more when nobody does") {
   Following following;
   following.run(2s);
-  CHECK(following.follower.signs("s3").empty());
+  CHECK(following.follower.databaseReports("s3").empty());
   following.run(400ms);
-  REQUIRE(following.follower.signs("s3").size() == 1);
-  CHECK(following.follower.signs("s3").front().database == "d1 of s3");
+  REQUIRE(following.follower.databaseReports("s3").size() == 1);
+  CHECK(following.follower.databaseReports("s3").front().database == "d1 of s3");
   following.run(6s);
   auto asked = following.source.signsAsked;
   following.run(3s);
@@ -216,7 +216,7 @@
     following.network.lose(0);
     following.run(5s);
     for (const auto& topic : Following::topics()) {
-      CHECK(following.follower.board().find(topic)->table == following.source.board.find(topic)->table);
+      CHECK(following.follower.updates().find(topic)->table == following.source.board.find(topic)->table);
       CHECK(following.follower.leaseUntil(topic));
     }
   }
@@ -229,7 +229,7 @@
   SimulatedLink link(following.network, clock, node);
   Desk desk(clock, link, 2);
   SimulatedJournal journal("node", [](const std::string&) {});
-  NewsFollower follower(
+  UpdateFollower follower(
       clock, desk, journal,
       [](const Topic&) {
         return std::vector{sourceAt};
@@ -239,7 +239,7 @@
         return std::optional{node};
       });
   following.run(2s);
-  REQUIRE(follower.board().mark("s1") == following.source.board.mark("s1"));
+  REQUIRE(follower.updates().mark("s1") == following.source.board.mark("s1"));
   auto asked = [&] {
     return journal.counters().at("news.asks");
   };
@@ -248,12 +248,12 @@
   auto quiet = asked() - before;
   following.source.publish("s1", "share/10.1.0.9:1", "4");
   following.run(1s);
-  CHECK(follower.board().mark("s1") == following.source.board.mark("s1"));
-  CHECK_FALSE(follower.board().find("s1")->table.contains("share/10.1.0.9:1"));
+  CHECK(follower.updates().mark("s1") == following.source.board.mark("s1"));
+  CHECK_FALSE(follower.updates().find("s1")->table.contains("share/10.1.0.9:1"));
   before = asked();
   following.run(5s);
   CHECK(asked() - before <= quiet + 2);
   following.source.publish("s1", "share/10.1.0.2:1", "7");
   following.run(300ms);
-  CHECK(follower.board().find("s1")->table.at("share/10.1.0.2:1") == "7");
+  CHECK(follower.updates().find("s1")->table.at("share/10.1.0.2:1") == "7");
 }
--- a/tests/news_whole_test.cpp
+++ b/tests/update_snapshot_test.cpp
@@ -3,8 +3,8 @@
 #include <catch2/catch.hpp>
 
 #include "control/plan_news.hpp"
-#include "news/news_desk.hpp"
-#include "news/news_follower.hpp"
+#include "updates/update_server.hpp"
+#include "updates/update_follower.hpp"
 #include "simulated/simulated_clock.hpp"
 #include "simulated/simulated_journal.hpp"
 #include "simulated/simulated_link.hpp"
@@ -14,7 +14,7 @@
 
 namespace {
 
-NewsTable routes(std::uint64_t mark, std::size_t amount) {
+TopicTable routes(std::uint64_t mark, std::size_t amount) {
   ServiceNews news;
   news.mark = PlanMark{mark};
   for (std::size_t number = 1; number <= amount; ++number) {
@@ -24,12 +24,12 @@
     kind.host = "host" + std::to_string(number * 7919);
     news.kinds[KindName{"r-" + std::to_string(number * 104729)}] = kind;
   }
-  NewsTable table;
+  TopicTable table;
   layPlan(table, news);
   return table;
 }
 
-NewsTable withNodes(NewsTable table, std::size_t nodes) {
+TopicTable withNodes(TopicTable table, std::size_t nodes) {
   for (std::size_t number = 1; number <= nodes; ++number) table["node/10.1.0." + std::to_string(number) + ":1"] = "here";
   return table;
 }
@@ -69,19 +69,19 @@
 };
 
 /// A source of one large topic, on a machine of its own.
-struct Source : NewsSource {
+struct Source : UpdateSource {
   Source(World& world, SimulatedNetwork& network, const Address& at)
       : clock(world), link(network, clock, at), desk(clock, link, 1), news(clock, desk, board, *this, 150ms) {}
   std::optional<Instant> leaseUntil(const Topic&) override { return clock.now() + 1600ms; }
-  std::vector<DatabaseSign> signs(const Topic&) override { return {}; }
-  bool core() const override { return isCore; }
+  std::vector<DatabaseReport> databaseReports(const Topic&) override { return {}; }
+  bool isReplica() const override { return actsAsReplica; }
   std::uint64_t position(const Topic&) override { return 1; }
   SimulatedClock clock;
   SimulatedLink link;
   Desk desk;
-  NewsBoard board;
-  NewsDesk news;
-  bool isCore = false;
+  UpdateStore board;
+  UpdateServer news;
+  bool actsAsReplica = false;
 };
 
 struct Following {
@@ -90,17 +90,17 @@
     own.board.publish(fleetTopic, 5, routes(1, 4000));
   }
   Task<void> asking(std::uint64_t have) {
-    FollowAsk ask;
-    ask.have = {{fleetTopic, have}};
+    FollowRequest ask;
+    ask.knownMarks = {{fleetTopic, have}};
     auto bytes = co_await desk.ask(own.link.own(), "follow", packed(ask), clock.now() + 1s);
     if (bytes) reply = unpacked<FollowReply>(*bytes);
   }
-  FollowFate ask(std::uint64_t have) {
+  FollowResult ask(std::uint64_t have) {
     reply.reset();
     scope.spawn(asking(have));
     world.runUntil(world.now() + 1s);
     REQUIRE(reply);
-    return reply->topics.at(fleetTopic).fate;
+    return reply->topics.at(fleetTopic).result;
   }
   World world{1};
   SimulatedNetwork network;
@@ -115,7 +115,7 @@
 }  // namespace
 
 TEST_CASE("a whole table of many routes goes compressed and comes out as it was") {
-  NewsBoard source;
+  UpdateStore source;
   auto table = withNodes(routes(1, 4000), 100);
   source.publish(fleetTopic, 7, table);
   TopicReply reply;
@@ -123,74 +123,74 @@
   std::size_t size = 0;
   for (const auto& [key, value] : table) size += key.size() + value.size();
   CHECK(packed(reply).size() * 3 < size);
-  NewsBoard follower;
+  UpdateStore follower;
   REQUIRE(follower.apply(fleetTopic, *unpacked<TopicReply>(packed(reply))));
   CHECK(follower.find(fleetTopic)->table == table);
   CHECK(follower.mark(fleetTopic) == 7);
 }
 
 TEST_CASE("the compressed plan is made anew when the plan changes, and only then") {
-  NewsBoard board;
+  UpdateStore board;
   board.publish(fleetTopic, 1, withNodes(routes(1, 1000), 1));
   TopicReply first;
   board.fill(fleetTopic, 0, first);
-  board.publishChanges(fleetTopic, 2, {NewsChange{2, "node/10.1.0.9:1", false, "here"}});
+  board.publishChanges(fleetTopic, 2, {TopicChange{2, "node/10.1.0.9:1", false, "here"}});
   TopicReply second;
   board.fill(fleetTopic, 0, second);
-  CHECK(second.wholePlan == first.wholePlan);
+  CHECK(second.compressedPlan == first.compressedPlan);
   CHECK(second.table.contains("node/10.1.0.9:1"));
   board.publish(fleetTopic, 3, withNodes(routes(2, 1001), 1));
   TopicReply third;
   board.fill(fleetTopic, 0, third);
-  CHECK(third.wholePlan != first.wholePlan);
-  NewsBoard follower;
+  CHECK(third.compressedPlan != first.compressedPlan);
+  UpdateStore follower;
   REQUIRE(follower.apply(fleetTopic, third));
   CHECK(follower.find(fleetTopic)->table == board.find(fleetTopic)->table);
 }
 
 TEST_CASE("a damaged whole plan is not taken") {
-  NewsBoard board;
+  UpdateStore board;
   board.publish(fleetTopic, 1, routes(1, 1000));
   TopicReply reply;
   board.fill(fleetTopic, 0, reply);
-  for (std::size_t byte = 0; byte < reply.wholePlan.size(); byte += 97) {
+  for (std::size_t byte = 0; byte < reply.compressedPlan.size(); byte += 97) {
     auto damaged = reply;
-    damaged.wholePlan[byte] ^= 0x55;
-    NewsBoard follower;
+    damaged.compressedPlan[byte] ^= 0x55;
+    UpdateStore follower;
     if (follower.apply(fleetTopic, damaged)) CHECK(follower.find(fleetTopic)->table == board.find(fleetTopic)->table);
   }
   auto cut = reply;
-  cut.wholePlan.resize(cut.wholePlan.size() / 2);
-  NewsBoard follower;
+  cut.compressedPlan.resize(cut.compressedPlan.size() / 2);
+  UpdateStore follower;
   CHECK_FALSE(follower.apply(fleetTopic, cut));
   CHECK(follower.mark(fleetTopic) == 0);
 }
 
 TEST_CASE("entries published alone leave the same table and the same changes as the whole table does") {
-  NewsBoard whole;
-  NewsBoard single;
+  UpdateStore whole;
+  UpdateStore single;
   for (auto* board : {&whole, &single}) board->publish(fleetTopic, 1, withNodes({}, 3));
   auto table = withNodes({}, 4);
   table.erase("node/10.1.0.2:1");
   whole.publish(fleetTopic, 2, table);
   single.publishChanges(fleetTopic, 2,
-                        {NewsChange{2, "node/10.1.0.4:1", false, "here"}, NewsChange{2, "node/10.1.0.2:1", true, {}},
-                         NewsChange{2, "node/10.1.0.1:1", false, "here"}});
+                        {TopicChange{2, "node/10.1.0.4:1", false, "here"}, TopicChange{2, "node/10.1.0.2:1", true, {}},
+                         TopicChange{2, "node/10.1.0.1:1", false, "here"}});
   CHECK(whole.find(fleetTopic)->table == single.find(fleetTopic)->table);
   CHECK(whole.mark(fleetTopic) == single.mark(fleetTopic));
   CHECK(whole.find(fleetTopic)->changes.size() == single.find(fleetTopic)->changes.size());
-  single.publishChanges(fleetTopic, 3, {NewsChange{3, "node/10.1.0.1:1", false, "here"}});
+  single.publishChanges(fleetTopic, 3, {TopicChange{3, "node/10.1.0.1:1", false, "here"}});
   CHECK(single.mark(fleetTopic) == 2);
 }
 
 TEST_CASE("a node passes on what changed, and a large whole table only on its own machine; a replica always does") {
   Following other(Address{"10.1.0.1:1"}, Address{"10.1.0.2:1"});
-  CHECK(other.ask(0) == FollowFate::notCurrent);
-  CHECK(other.ask(5) == FollowFate::changes);
-  other.own.isCore = true;
-  CHECK(other.ask(0) == FollowFate::snapshot);
+  CHECK(other.ask(0) == FollowResult::notCurrent);
+  CHECK(other.ask(5) == FollowResult::changes);
+  other.own.actsAsReplica = true;
+  CHECK(other.ask(0) == FollowResult::snapshot);
   Following same(Address{"10.1.0.1:1"}, Address{"10.1.0.1:2"});
-  CHECK(same.ask(0) == FollowFate::snapshot);
+  CHECK(same.ask(0) == FollowResult::snapshot);
 }
 
 TEST_CASE("a long reply is waited for as long as bytes of it arrive, and no longer") {
--- a/tests/zone_homes_test.cpp
+++ b/tests/zone_relays_test.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-#include "news/zone_homes.hpp"
+#include "updates/zone_relays.hpp"
 
 using namespace tamarindshift;
 
@@ -29,23 +29,23 @@
   for (std::size_t count : {1u, 2u, 3u, 12u, 24u, 25u, 70u, 400u}) {
     CAPTURE(count);
     auto all = agents(count);
-    ZoneHomes zone(all);
+    ZoneRelays zone(all);
     auto homes = std::count_if(all.begin(), all.end(), [&](const auto& agent) {
-      return zone.home(agent);
+      return zone.isRelay(agent);
     });
     CHECK(static_cast<std::size_t>(homes) == std::min(count, 2 * ((count + 23) / 24)));
     std::map<Address, std::size_t> followers;
     for (const auto& agent : all) {
       std::set<Address> sources;
       for (const auto& topic : topics()) {
-        auto own = zone.of(topic, agent);
+        auto own = zone.relaysFor(topic, agent);
         sources.insert(own.begin(), own.end());
         CHECK(std::find(own.begin(), own.end(), agent) == own.end());
-        if (!zone.home(agent)) CHECK(own.size() == std::min<std::size_t>(2, count));
+        if (!zone.isRelay(agent)) CHECK(own.size() == std::min<std::size_t>(2, count));
       }
       CHECK(sources.size() <= 2);
       for (const auto& source : sources) {
-        CHECK(zone.home(source));
+        CHECK(zone.isRelay(source));
         ++followers[source];
       }
     }
@@ -54,21 +54,21 @@
 }
 
 TEST_CASE("a topic has one home in each group, which follows replicas, and no two homes wait for each other") {
-  ZoneHomes zone(agents(70));
+  ZoneRelays zone(agents(70));
   for (const auto& topic : topics()) {
     std::size_t first = 0;
     for (const auto& agent : zone.agents()) {
-      auto own = zone.of(topic, agent);
+      auto own = zone.relaysFor(topic, agent);
       if (own.empty())
         ++first;
-      else if (zone.home(agent))
-        CHECK(zone.of(topic, own.front()).empty());
+      else if (zone.isRelay(agent))
+        CHECK(zone.relaysFor(topic, own.front()).empty());
     }
     CHECK(first == 3);
   }
 }
 
 TEST_CASE("an agent that the zone does not know follows replicas") {
-  CHECK(ZoneHomes{}.of(fleetTopic, Address{"10.1.0.1:1"}).empty());
-  CHECK(ZoneHomes{agents(5)}.of(fleetTopic, Address{"10.9.0.1:1"}).empty());
+  CHECK(ZoneRelays{}.relaysFor(fleetTopic, Address{"10.1.0.1:1"}).empty());
+  CHECK(ZoneRelays{agents(5)}.relaysFor(fleetTopic, Address{"10.9.0.1:1"}).empty());
 }
