--- a/tests/pooler_trial.hpp
+++ b/tests/pooler_trial.hpp
@@ -96,7 +96,7 @@
   World world;
   SimulatedClock clock;
   ScriptedUpdates updates;
-  Guide guide;
+  ServiceDirectory guide;
   SimulatedJournal journal;
   ScriptedBackEnds backEnds;
   PoolerSettings settings;
