--- a/src/pooler/back_end_pool.hpp
+++ b/src/pooler/back_end_pool.hpp
@@ -27,7 +27,7 @@
     std::optional<Instant> silenceSeenAt;
     Instant lastTimeoutAt{};
     Instant behindUntil{};
-    Place logPosition;
+    LogPosition logPosition;
     double meanLatencyMicros = 8000;
     double baselineLatencyMicros = 0;
     double errorRate = 0;
--- a/src/pooler/connection_request.hpp
+++ b/src/pooler/connection_request.hpp
@@ -25,7 +25,7 @@
   ConnectionRequestState state = ConnectionRequestState::waiting;
   bool rationed = false;
   std::shared_ptr<PooledBackEnd> connection;
-  std::optional<Place> minPosition;
+  std::optional<LogPosition> minPosition;
   StatementFault fault = StatementFault::none;
   std::string reason;
   Gate decided;
--- a/src/pooler/pooler.hpp
+++ b/src/pooler/pooler.hpp
@@ -3,7 +3,6 @@
 #include <nlohmann/json_fwd.hpp>
 
 #include "base/journal.hpp"
-#include "control/access_messages.hpp"
 #include "control/plan_version_check.hpp"
 #include "proxy/service_directory.hpp"
 #include "pooler/reply_check.hpp"
@@ -69,7 +68,7 @@
   };
   struct Acquired {
     std::shared_ptr<PooledBackEnd> connection;
-    std::optional<Place> minPosition;
+    std::optional<LogPosition> minPosition;
     StatementFault fault = StatementFault::none;
     std::string reason;
   };
@@ -120,7 +119,7 @@
                          std::set<DatabaseName> avoid);
   Task<bool> applySessionState(Session session, Connection connection, const Statement* executes, Instant deadline);
   /// The one way of a statement to a database. `session`: whose statement it is; none for those of the pooler itself.
-  Task<BackEndReply> runOn(ClientSession* session, Connection connection, Statement statement, std::optional<Place> minPosition,
+  Task<BackEndReply> runOn(ClientSession* session, Connection connection, Statement statement, std::optional<LogPosition> minPosition,
                            Instant deadline);
   Task<void> finishRollback(Connection connection);
 
@@ -130,7 +129,7 @@
   bool rationed(const ServiceDirectory::ServiceView& view, const DatabaseName& database, std::uint32_t order) const;
   bool anyRationed(const ServiceDirectory::ServiceView& view, const ConnectionRequest& request) const;
   void measureDemand();
-  std::vector<DatabaseName> candidates(const ConnectionRequest& request, const Route& route, std::optional<Place>& minPosition) const;
+  std::vector<DatabaseName> candidates(const ConnectionRequest& request, const Route& route, std::optional<LogPosition>& minPosition) const;
   bool mayRunOn(const Connection& connection, const KindName& kind, bool inTransaction) const;
   bool mayAcknowledge(const Connection& connection) const;
   bool writes(const ClientSession& session, const Statement& statement) const;
--- a/src/pooler/primary_position_history.cpp
+++ b/src/pooler/primary_position_history.cpp
@@ -4,14 +4,14 @@
 
 namespace tamarindshift {
 
-void PrimaryPositionHistory::record(Instant askedAt, Place logPosition) {
+void PrimaryPositionHistory::record(Instant askedAt, LogPosition logPosition) {
   if (!samples_.empty() && askedAt < samples_.back().askedAt + minInterval) return;
   if (!samples_.empty() && logPosition < samples_.back().logPosition) return;
   samples_.push_back(Sample{askedAt, logPosition});
   while (samples_.front().askedAt + retention < askedAt) samples_.pop_front();
 }
 
-std::optional<Place> PrimaryPositionHistory::covering(Instant since) const {
+std::optional<LogPosition> PrimaryPositionHistory::covering(Instant since) const {
   auto found = std::lower_bound(samples_.begin(), samples_.end(), since, [](const Sample& sample, Instant instant) {
     return sample.askedAt < instant;
   });
--- a/src/proxy/database_messages.hpp
+++ b/src/proxy/database_messages.hpp
@@ -29,7 +29,7 @@
   /// The newest term that it knows of; a promotion raises it.
   Epoch term{};
   /// Where its log ends.
-  Place logEnd() const { return Place{epoch, position}; }
+  LogPosition logEnd() const { return LogPosition{epoch, position}; }
 };
 
 struct DatabaseReply {
--- a/src/scale/hollow_node.cpp
+++ b/src/scale/hollow_node.cpp
@@ -34,7 +34,7 @@
   });
 }
 
-bool HollowNode::follows(PlanMark mark) const {
+bool HollowNode::follows(PlanVersion mark) const {
   const auto& directory = proxy_->directory();
   if (directory.planMark() < mark) return false;
   return std::all_of(directory.services().begin(), directory.services().end(), [&](const auto& each) {
--- a/tests/rationing_test.cpp
+++ b/tests/rationing_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "control/service_news.hpp"
+#include "control/published_entries.hpp"
 #include "tests/control_cluster.hpp"
 
 using namespace tamarindshift;
--- a/tests/recovery_removal_test.cpp
+++ b/tests/recovery_removal_test.cpp
@@ -16,7 +16,7 @@
       return promoted("d1");
     }));
     run(2s);
-    report.services[ServiceName{"s1"}].working = true;
+    report.services[ServiceName{"s1"}].hasRecentWork = true;
   }
   void removeService() {
     auto reply = ask(replica(0).replacePlan(R"({"mark":2,"services":{},"kinds":{}})"));
--- a/tests/scripted_back_ends.cpp
+++ b/tests/scripted_back_ends.cpp
@@ -25,7 +25,7 @@
   ScriptedConnection(ScriptedBackEnds& backEnds, std::shared_ptr<ScriptedBackEnds::ServerConnection> connection)
       : backEnds_(backEnds), connection_(std::move(connection)) {}
   ~ScriptedConnection() override { backEnds_.close(*connection_); }
-  Task<BackEndReply> run(Statement statement, std::optional<Place> minPosition, Instant deadline) override {
+  Task<BackEndReply> run(Statement statement, std::optional<LogPosition> minPosition, Instant deadline) override {
     return backEnds_.run(connection_, std::move(statement), minPosition, deadline);
   }
   bool usable() const override { return connection_->open; }
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-ScriptedDatabase& ScriptedBackEnds::add(const std::string& name, bool primary, Place logPosition) {
+ScriptedDatabase& ScriptedBackEnds::add(const std::string& name, bool primary, LogPosition logPosition) {
   auto& database = databases_[name];
   database.name = name;
   database.primary = primary;
@@ -219,7 +219,7 @@
 }
 
 Task<BackEndReply> ScriptedBackEnds::run(std::shared_ptr<ServerConnection> connection, Statement statement,
-                                         std::optional<Place> minPosition, Instant deadline) {
+                                         std::optional<LogPosition> minPosition, Instant deadline) {
   BackEndReply reply;
   if (!connection->open) co_return reply;
   auto& database = *connection->database;
--- a/tests/scripted_back_ends.hpp
+++ b/tests/scripted_back_ends.hpp
@@ -32,10 +32,10 @@
   std::uint64_t connection = 0;
   std::string database;
   Statement statement;
-  std::optional<Place> minPosition;
+  std::optional<LogPosition> minPosition;
   std::map<std::string, std::string> values;
   std::map<std::string, PreparedStatement> prepared;
-  Place logPosition;
+  LogPosition logPosition;
   bool inTransaction = false;
   bool ran = false;
   Instant at{};
@@ -45,7 +45,7 @@
 struct ScriptedDatabase {
   std::string name;
   bool primary = false;
-  Place logPosition;
+  LogPosition logPosition;
   Duration runTime = 5ms;
   Duration slowDelay = 300ms;
   Duration openTime = 2ms;
@@ -69,7 +69,7 @@
  public:
   explicit ScriptedBackEnds(Clock& clock) : clock_(clock) {}
 
-  ScriptedDatabase& add(const std::string& name, bool primary, Place logPosition);
+  ScriptedDatabase& add(const std::string& name, bool primary, LogPosition logPosition);
   ScriptedDatabase& at(const std::string& name) { return databases_.at(name); }
   const std::map<std::string, ScriptedDatabase>& databases() const { return databases_; }
   void script(const std::string& name, StatementKind kind, ScriptedOutcome outcome) { at(name).next[kind].push_back(outcome); }
@@ -84,7 +84,7 @@
  private:
   friend class ScriptedConnection;
   struct ServerConnection;
-  Task<BackEndReply> run(std::shared_ptr<ServerConnection> connection, Statement statement, std::optional<Place> minPosition,
+  Task<BackEndReply> run(std::shared_ptr<ServerConnection> connection, Statement statement, std::optional<LogPosition> minPosition,
                          Instant deadline);
   BackEndReply execute(ServerConnection& connection, std::size_t number, std::optional<ScriptedOutcome> outcome);
   StatementFault effect(ServerConnection& connection, ScriptedRun& run);
--- a/tests/scripted_databases.cpp
+++ b/tests/scripted_databases.cpp
@@ -2,7 +2,7 @@
 
 namespace tamarindshift {
 
-void ScriptedDatabases::add(const DatabaseHeartbeat& heartbeat, Place logPosition) {
+void ScriptedDatabases::add(const DatabaseHeartbeat& heartbeat, LogPosition logPosition) {
   auto& added = databases_[heartbeat.database];
   added = Database{};
   added.heartbeat = heartbeat;
