--- a/src/control/control_state_publish.cpp
+++ b/src/control/control_state_publish.cpp
@@ -27,7 +27,8 @@
   for (const auto& address : changedNodes_) {
     auto node = nodes_.find(address);
     bool removed = node == nodes_.end();
-    changes.push_back(TopicChange{position_, nodePrefix + address.get(), removed, removed ? std::string{} : publishedNode(address, node->second)});
+    changes.push_back(
+        TopicChange{position_, nodePrefix + address.get(), removed, removed ? std::string{} : publishedNode(address, node->second)});
   }
   changedNodes_.clear();
   if (!changes.empty()) board_.publishChanges(fleetTopic, position_, std::move(changes));
--- a/src/control/duties.hpp
+++ b/src/control/duties.hpp
@@ -118,7 +118,8 @@
   Task<void> confirm(ServiceName name, ServiceState service, Epoch term);
   Task<void> callPromotion(ServiceName name, ServiceState service);
   Task<std::optional<Epoch>> leads(ServiceName name, ServiceState service, Instant calledAt);
-  Task<std::optional<DatabaseStatus>> reached(ServiceName name, ServiceState service, LogPosition needed, std::optional<DatabaseStatus> standing);
+  Task<std::optional<DatabaseStatus>> reached(ServiceName name, ServiceState service, LogPosition needed,
+                                              std::optional<DatabaseStatus> standing);
   Task<void> demote(ServiceName name, DatabaseName former);
   Task<void> demoteStray(ServiceName name);
   Task<std::optional<DatabaseStatus>> status(ServiceName name, DatabaseName database, Duration patience);
--- a/src/control/promotion_duties.cpp
+++ b/src/control/promotion_duties.cpp
@@ -165,7 +165,8 @@
                                                     std::optional<DatabaseStatus> standing) {
   auto deadline = clock_.now() + timings_.statusPatience;
   for (Duration pause = 30ms;; pause = pause * 3 / 2) {
-    bool waits = service.plannedSwitchover && standing && standing->logEnd() < needed && clock_.now() < deadline && pending(name, service.epoch);
+    bool waits =
+        service.plannedSwitchover && standing && standing->logEnd() < needed && clock_.now() < deadline && pending(name, service.epoch);
     if (!waits) co_return standing;
     co_await sleep(clock_, pause);
     standing = co_await status(name, service.primary, timings_.statusPatience);
--- a/src/pooler/pooler.cpp
+++ b/src/pooler/pooler.cpp
@@ -4,8 +4,8 @@
 
 namespace tamarindshift {
 
-Pooler::Pooler(Clock& clock, ServiceDirectory& guide, BackEndConnector& connector, Journal& journal, PoolerSettings settings, std::uint64_t boot,
-               Reports reports)
+Pooler::Pooler(Clock& clock, ServiceDirectory& guide, BackEndConnector& connector, Journal& journal, PoolerSettings settings,
+               std::uint64_t boot, Reports reports)
     : clock_(clock),
       guide_(guide),
       journal_(journal),
--- a/src/pooler/pooler.hpp
+++ b/src/pooler/pooler.hpp
@@ -4,6 +4,7 @@
 
 #include "base/journal.hpp"
 #include "control/plan_version_check.hpp"
+#include "control/report_messages.hpp"
 #include "proxy/service_directory.hpp"
 #include "pooler/reply_check.hpp"
 #include "pooler/back_end_pool.hpp"
--- a/tests/awaited_commits_test.cpp
+++ b/tests/awaited_commits_test.cpp
@@ -72,9 +72,9 @@
   LostPrimary cluster;
   if (leavesFirst) cluster.saysLeaving("d2");
   if (!leavesFirst) {
-    cluster.databases.at("d2").unresponsive = true;
+    cluster.databases.at("d2").unreachable = true;
     cluster.losesPrimary();
-    cluster.databases.at("d2").unresponsive = false;
+    cluster.databases.at("d2").unreachable = false;
     cluster.saysLeaving("d2");
   } else {
     cluster.losesPrimary();
@@ -96,13 +96,13 @@
   auto silentFor = GENERATE(3s, 12s, 40s);
   CAPTURE(silentFor.count());
   LostPrimary cluster;
-  cluster.databases.at("d2").unresponsive = true;
+  cluster.databases.at("d2").unreachable = true;
   cluster.own().suspects = {DatabaseName{"d2"}};
   cluster.run(6s);
   cluster.losesPrimary();
   cluster.run(silentFor);
   CHECK(cluster.databases.at("d3").promoteCalls == 0);
-  cluster.databases.at("d2").unresponsive = false;
+  cluster.databases.at("d2").unreachable = false;
   REQUIRE(cluster.runUntil(10s, [&] {
     return cluster.promoted("d2");
   }));
@@ -146,7 +146,7 @@
   auto darkFor = GENERATE(2s, 5s);
   CAPTURE(darkFor.count());
   LostPrimary cluster(Position{95});
-  cluster.databases.at("d2").unresponsive = true;
+  cluster.databases.at("d2").unreachable = true;
   cluster.databases.at("d3").promotion = PromotionOutcome::unanswered;
   cluster.ends("d1");
   cluster.own().suspects = {DatabaseName{"d1"}, DatabaseName{"d2"}};
@@ -156,7 +156,7 @@
   cluster.own().acknowledged = LogPosition{Epoch{3}, Position{100}};
   cluster.run(darkFor);
   auto callsBefore = cluster.databases.at("d3").promoteCalls;
-  cluster.databases.at("d2").unresponsive = false;
+  cluster.databases.at("d2").unreachable = false;
   cluster.startElsewhere("d8", "10.2.0.1:1", "s2");
   REQUIRE(cluster.runUntil(20s, [&] {
     return cluster.promoted("d2");
--- a/tests/core_model.cpp
+++ b/tests/core_model.cpp
@@ -114,7 +114,7 @@
     return {};
   }
 
-  // VersionLedger::judge, at the member that accepted the order
+  // PlanVersionHistory::verdict, at the member that accepted the order
   void acknowledge(State& state, int who, Byte action) const {
     state.acknowledged |= static_cast<Byte>(1 << action);
     if (action != orderOne && action != orderTwo) return;
--- a/tests/core_model.hpp
+++ b/tests/core_model.hpp
@@ -24,7 +24,7 @@
     bool syncBeforeAcknowledgement = true;  ///< ReplicationEngine::received
     bool confirmationBeforeServing = true;  ///< SequencedGroup::viewConfirmedAt
     bool spareBeforeLeave = true;           ///< MemberReplacement::spare
-    bool digestOfVersion = true;        ///< PlanVersionHistory::verdict
+    bool digestOfVersion = true;            ///< PlanVersionHistory::verdict
   };
 
   /// Bounds on one path.
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -150,7 +150,7 @@
 
 TEST_CASE("a crashed primary that no one works at is replaced after its silence") {
   Discovered cluster;
-  cluster.databases.at("d1").unresponsive = true;
+  cluster.databases.at("d1").unreachable = true;
   CHECK_FALSE(cluster.runUntil(700ms, [&] {
     return !cluster.promoted("d1");
   }));
--- a/tests/former_primary_test.cpp
+++ b/tests/former_primary_test.cpp
@@ -23,7 +23,7 @@
 
   // the former primary is reached again and still says that it leads, the next one crashes
   void comesBack() {
-    databases.at("d1").unresponsive = false;
+    databases.at("d1").unreachable = false;
     own().suspects = {};
     databases.sendHeartbeat("d1");
     run(20ms);
--- a/tests/invariant_checks_test.cpp
+++ b/tests/invariant_checks_test.cpp
@@ -64,23 +64,23 @@
   service.grants[Address{"10.1.0.1:1"}][work] = 4;
   service.grants[Address{"10.1.0.2:1"}][work] = 3;
   service.reserved[Address{"10.1.0.3:1"}].connections[work] = 3;
-    service.grants[Address{"10.1.0.2:1"}][BranchName{"removed"}] = 30;
-    checkSharesWithinBranches(trial.journal, name, planned, service);
-    CHECK(trial.violations() == 0);
-    CHECK(trial.checked(Invariant::sharesWithinBranch) == 1);
-    SECTION("granted") {
-      service.grants[Address{"10.1.0.2:1"}][work] = 4;
-    }
-    SECTION("reserved") {
+  service.grants[Address{"10.1.0.2:1"}][BranchName{"removed"}] = 30;
+  checkSharesWithinBranches(trial.journal, name, planned, service);
+  CHECK(trial.violations() == 0);
+  CHECK(trial.checked(Invariant::sharesWithinBranch) == 1);
+  SECTION("granted") {
+    service.grants[Address{"10.1.0.2:1"}][work] = 4;
+  }
+  SECTION("reserved") {
     service.reserved[Address{"10.1.0.3:1"}].connections[work] = 4;
   }
   SECTION("a smaller cap") {
-        planned.branches[work].connections = 9;
+    planned.branches[work].connections = 9;
   }
   checkSharesWithinBranches(trial.journal, name, planned, service);
   CHECK(trial.violations() == 1);
   CHECK(trial.violated(Invariant::sharesWithinBranch) == 1);
-    }
+}
 
 TEST_CASE("invariants: a fence that falls, or a call by a node without duties, is noticed") {
   JournalFixture trial;
--- a/tests/recovery_removal_test.cpp
+++ b/tests/recovery_removal_test.cpp
@@ -33,12 +33,12 @@
   auto after = GENERATE(range(0, 18));
   CAPTURE(syncReplicas, planned, after);
   Removed cluster(syncReplicas);
-  cluster.databases.at("d3").unresponsive = true;
+  cluster.databases.at("d3").unreachable = true;
   if (planned) {
     cluster.databases.at("d1").heartbeat.leaving = true;
     cluster.databases.sendHeartbeat("d1");
   } else {
-    cluster.databases.at("d1").unresponsive = true;
+    cluster.databases.at("d1").unreachable = true;
     cluster.report.services[ServiceName{"s1"}].suspects = {DatabaseName{"d1"}};
   }
   cluster.run(after * 100ms);
@@ -48,7 +48,7 @@
   CHECK_FALSE(cluster.replica(0).state().services().contains(ServiceName{"s1"}));
   cluster.databases.at("d1").up = false;
   cluster.databases.at("d1").heartbeatsStopped = true;
-  cluster.databases.at("d3").unresponsive = false;
+  cluster.databases.at("d3").unreachable = false;
   cluster.databases.at("d2").heartbeat.role = "primary";
   cluster.databases.sendHeartbeat("d2");
   cluster.plan(3, cluster.discovered(syncReplicas));
@@ -62,7 +62,7 @@
   ControlCluster cluster;
   cluster.start("d1", "primary", Position{100});
   cluster.start("d3", "replica", Position{95});
-  cluster.databases.addUnresponsive("d2");
+  cluster.databases.addUnreachable("d2");
   cluster.plan(
       1,
       R"({"databases":{"d1":{"address":"10.2.0.1:1","cap":10},"d2":{"address":"10.2.0.2:1","cap":10},"d3":{"address":"10.2.0.3:1","cap":10}},
--- a/tests/scripted_databases.cpp
+++ b/tests/scripted_databases.cpp
@@ -13,7 +13,7 @@
 void ScriptedDatabases::sendHeartbeat(const std::string& name) {
   auto& own = at(name);
   ++own.heartbeat.number;
-  if (own.up && !own.unresponsive && !own.heartbeatsStopped) scope_.spawn(deliver(own.heartbeat));
+  if (own.up && !own.unreachable && !own.heartbeatsStopped) scope_.spawn(deliver(own.heartbeat));
 }
 
 std::uint64_t ScriptedDatabases::statusCalls() const {
@@ -36,11 +36,11 @@
 Task<bool> ScriptedDatabases::answers(DatabaseName name, Instant deadline) {
   auto found = databases_.find(name);
   if (found == databases_.end()) co_return false;
-  if (found->second.unresponsive)
+  if (found->second.unreachable)
     co_await sleep(clock_, deadline - clock_.now());
   else
     co_await sleep(clock_, 1ms);
-  co_return found->second.up && !found->second.unresponsive;
+  co_return found->second.up && !found->second.unreachable;
 }
 
 Task<std::optional<DatabaseStatus>> ScriptedDatabases::status(DatabaseTarget target, Instant deadline) {
--- a/tests/scripted_databases.hpp
+++ b/tests/scripted_databases.hpp
@@ -18,7 +18,7 @@
     /// The newest term it knows of, where that is above the one of its log.
     Epoch newestTerm;
     bool up = true;
-    bool unresponsive = false;
+    bool unreachable = false;
     bool heartbeatsStopped = false;
     PromotionOutcome promotion = PromotionOutcome::accepted;
     bool promotesWhenAccepted = true;
@@ -37,7 +37,7 @@
   Database& at(const std::string& name) { return databases_.at(DatabaseName{name}); }
   void add(const DatabaseHeartbeat& heartbeat, LogPosition logPosition);
   // a database that never sent a heartbeat and answers nothing
-  void addUnresponsive(const std::string& name) { databases_[DatabaseName{name}].unresponsive = true; }
+  void addUnreachable(const std::string& name) { databases_[DatabaseName{name}].unreachable = true; }
   void sendHeartbeat(const std::string& name);
   std::uint64_t statusCalls() const;
   const std::vector<DutyHolder>& holders() const { return holders_; }
