--- a/src/control/control_state.hpp
+++ b/src/control/control_state.hpp
@@ -10,7 +10,7 @@
 #include "control/enrolled_database.hpp"
 #include "control/plan_version_history.hpp"
 #include "engine/application.hpp"
-#include "news/news_board.hpp"
+#include "updates/update_store.hpp"
 
 namespace tamarindshift {
 
@@ -83,7 +83,7 @@
 /// table changes. Deterministic, so that all members have the same state at the same position.
 class ControlState : public Application {
  public:
-  explicit ControlState(NewsBoard& board) : board_(board) {}
+  explicit ControlState(UpdateStore& board) : board_(board) {}
 
   /// Applies one command and publishes its changes. Returns "held" or the reason why nothing changed; for a plan, the name
   /// of its verdict.
@@ -140,17 +140,17 @@
   ServiceState* findState(const ServiceName& service);
   void markChanged(const ServiceName& service) { changedTopics_.insert(service.get()); }
   void markAllChanged();
-  NewsTable fleetTable() const;
+  TopicTable fleetTable() const;
   std::string publishedNode(const Address& address, const NodeState& node) const;
   void publishNodeChanges();
-  NewsTable topicTable(const Topic& topic) const;
-  NewsTable serviceTable(const ServiceName& name, const PlanService& service) const;
+  TopicTable topicTable(const Topic& topic) const;
+  TopicTable serviceTable(const ServiceName& name, const PlanService& service) const;
   // Publishes the topics and nodes that the last command may have changed.
   void publish();
 
   static constexpr std::size_t maxAwaitedSuccessors = 64;
 
-  NewsBoard& board_;
+  UpdateStore& board_;
   std::optional<Plan> plan_;
   std::string planText_;
   std::map<ServiceName, ServiceState> services_;
--- a/src/control/control_state_publish.cpp
+++ b/src/control/control_state_publish.cpp
@@ -23,19 +23,19 @@
 
 // A change of one node is published as one entry, so that its cost does not depend on the size of the fleet's table.
 void ControlState::publishNodeChanges() {
-  std::vector<NewsChange> changes;
+  std::vector<TopicChange> changes;
   for (const auto& address : changedNodes_) {
     auto node = nodes_.find(address);
     bool removed = node == nodes_.end();
     changes.push_back(
-        NewsChange{position_, nodePrefix + address.get(), removed, removed ? std::string{} : publishedNode(address, node->second)});
+        TopicChange{position_, nodePrefix + address.get(), removed, removed ? std::string{} : publishedNode(address, node->second)});
   }
   changedNodes_.clear();
   if (!changes.empty()) board_.publishChanges(fleetTopic, position_, std::move(changes));
 }
 
-NewsTable ControlState::fleetTable() const {
-  NewsTable fleet;
+TopicTable ControlState::fleetTable() const {
+  TopicTable fleet;
   for (const auto& [address, node] : nodes_) fleet[nodePrefix + address.get()] = publishedNode(address, node);
   PublishedFleetPlan fleetPlan;
   if (plan_) {
@@ -47,11 +47,11 @@
   return fleet;
 }
 
-NewsTable ControlState::topicTable(const Topic& topic) const {
+TopicTable ControlState::topicTable(const Topic& topic) const {
   if (topic == fleetTopic) return fleetTable();
   ServiceName name{topic};
   const auto* service = plannedService(name);
-  return service ? serviceTable(name, *service) : NewsTable{};
+  return service ? serviceTable(name, *service) : TopicTable{};
 }
 
 void ControlState::publish() {
@@ -63,9 +63,9 @@
   changedTopics_.clear();
 }
 
-NewsTable ControlState::serviceTable(const ServiceName& name, const PlanService& service) const {
+TopicTable ControlState::serviceTable(const ServiceName& name, const PlanService& service) const {
   const auto& state = services_.at(name);
-  NewsTable table;
+  TopicTable table;
   PublishedServicePlan servicePlan{plan_->mark, service, {}};
   for (const auto& [kindName, kind] : plan_->kinds)
     if (kind.service == name) servicePlan.kinds.emplace(kindName, kind);
--- a/src/control/database_control.hpp
+++ b/src/control/database_control.hpp
@@ -6,7 +6,7 @@
 
 #include "base/address.hpp"
 #include "base/task.hpp"
-#include "pool/database_messages.hpp"
+#include "proxy/database_messages.hpp"
 
 namespace tamarindshift {
 
@@ -39,9 +39,9 @@
  public:
   virtual ~DatabaseControl() = default;
   /// Queries the state of a database; nothing if it does not answer.
-  virtual Task<std::optional<DatabaseStanding>> status(DatabaseTarget target, Instant deadline) = 0;
+  virtual Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) = 0;
   /// Turns a primary of an epoch below `epoch` into a replica. Returns its last state, or nothing if it does not answer.
-  virtual Task<std::optional<DatabaseStanding>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) = 0;
+  virtual Task<std::optional<DatabaseStatus>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) = 0;
   /// Asks a database to become the primary of `epoch`.
   virtual Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) = 0;
 };
--- a/src/control/plan_entries.hpp
+++ b/src/control/plan_entries.hpp
@@ -3,19 +3,19 @@
 // Conversion between plans and entries of the topic tables that subscribers receive.
 
 #include "control/published_entries.hpp"
-#include "news/news_table.hpp"
+#include "updates/topic_table.hpp"
 
 namespace tamarindshift {
 
 // A plan is stored as one entry for each part, so that a new plan is sent as the entries that differ only.
-void writePlanEntries(NewsTable& table, const PublishedFleetPlan& plan);
-void writePlanEntries(NewsTable& table, const PublishedServicePlan& plan);
+void writePlanEntries(TopicTable& table, const PublishedFleetPlan& plan);
+void writePlanEntries(TopicTable& table, const PublishedServicePlan& plan);
 /// The fleet-wide part of the plan in the table; default values where entries are missing.
-PublishedFleetPlan readFleetPlan(const NewsTable& table);
+PublishedFleetPlan readFleetPlan(const TopicTable& table);
 /// Nothing if the table has no plan of the service.
-std::optional<PublishedServicePlan> readServicePlan(const NewsTable& table);
+std::optional<PublishedServicePlan> readServicePlan(const TopicTable& table);
 /// Version 0 if the table has no plan.
-PlanVersion readPlanVersion(const NewsTable& table);
+PlanVersion readPlanVersion(const TopicTable& table);
 /// Whether the entry of that key belongs to the plan.
 bool isPlanKey(const std::string& key);
 
--- a/src/control/replica_node.hpp
+++ b/src/control/replica_node.hpp
@@ -8,12 +8,12 @@
 #include "control/replica_settings.hpp"
 #include "edge/door.hpp"
 #include "engine/core.hpp"
-#include "news/news_desk.hpp"
+#include "updates/update_server.hpp"
 
 namespace tamarindshift {
 
 /// A replica of the control plane.
-class ReplicaNode : public NewsSource {
+class ReplicaNode : public UpdateSource {
  public:
   ReplicaNode(Clock& clock, PeerLink& link, StableStore& store, DatabaseControl& databases, Journal& journal, ReplicaSettings settings,
               std::uint64_t incarnation);
@@ -29,7 +29,7 @@
   const ReportTables& reports() const { return reports_; }
   const Duties& duties() const { return *duties_; }
   const ReplicaSettings& settings() const { return settings_; }
-  const NewsBoard& board() const { return board_; }
+  const UpdateStore& board() const { return board_; }
   Journal& journal() { return journal_; }
 
   /// Orders a plan and returns the outcome. Every verdict comes from the log, never from the local state, so that a member
@@ -54,8 +54,8 @@
   Task<DoorReply> removeMember(Address address);
 
   std::optional<Instant> leaseUntil(const Topic& topic) override;
-  std::vector<DatabaseSign> signs(const Topic& topic) override;
-  bool core() const override { return true; }
+  std::vector<DatabaseReport> databaseReports(const Topic& topic) override;
+  bool isReplica() const override { return true; }
   std::uint64_t position(const Topic&) override { return state_.position(); }
 
  private:
@@ -76,13 +76,13 @@
   DatabaseControl& databases_;
   Journal& journal_;
   ReplicaSettings settings_;
-  NewsBoard board_;
+  UpdateStore board_;
   ControlState state_;
   ReportTables reports_;
   Desk desk_;
   Core core_;
   std::unique_ptr<Duties> duties_;
-  std::unique_ptr<NewsDesk> news_;
+  std::unique_ptr<UpdateServer> news_;
   std::size_t ordersInProgress_ = 0;
   std::optional<Instant> drainingSince_;
   std::optional<Instant> handedOverAt_;
--- a/src/control/report_tables.hpp
+++ b/src/control/report_tables.hpp
@@ -3,7 +3,7 @@
 // Volatile state of a replica: the newest report of each access node and the newest heartbeat of each database.
 
 #include "control/report_messages.hpp"
-#include "news/news_messages.hpp"
+#include "updates/update_messages.hpp"
 
 namespace tamarindshift {
 
@@ -34,7 +34,7 @@
   /// The newest heartbeat of a database; null if there is none.
   const Database* database(const ServiceName& service, const DatabaseName& database) const;
   /// State of each database of the service with the age of its heartbeat, as subscribers get it.
-  std::vector<DatabaseSign> signs(const ServiceName& service, Instant now) const;
+  std::vector<DatabaseReport> signs(const ServiceName& service, Instant now) const;
   /// Highest log position that any node reported as acknowledged.
   LogPosition acknowledged(const ServiceName& service) const;
   /// Removes nodes whose last contact was earlier than `before`.
--- a/src/pooler/pooler.cpp
+++ b/src/pooler/pooler.cpp
@@ -4,8 +4,8 @@
 
 namespace tamarindshift {
 
-Pooler::Pooler(Clock& clock, Guide& guide, BackEndConnector& connector, Journal& journal, PoolerSettings settings, std::uint64_t boot,
-               Reports reports)
+Pooler::Pooler(Clock& clock, ServiceDirectory& guide, BackEndConnector& connector, Journal& journal, PoolerSettings settings,
+               std::uint64_t boot, Reports reports)
     : clock_(clock),
       guide_(guide),
       journal_(journal),
@@ -160,7 +160,7 @@
   return std::nullopt;
 }
 
-std::uint32_t Pooler::connectionLimit(const ServiceName& name, const Guide::ServiceView& view) const {
+std::uint32_t Pooler::connectionLimit(const ServiceName& name, const ServiceDirectory::ServiceView& view) const {
   auto tracker = trackers_.find(name);
   if (tracker == trackers_.end() || clock_.now() - tracker->second.lastLeasedAt > settings_.timings.connectionsKept) return 0;
   std::uint32_t sum = 0;
@@ -329,7 +329,7 @@
   supervised_.open();
 }
 
-void Pooler::superviseService(const ServiceName& name, const Guide::ServiceView& view) {
+void Pooler::superviseService(const ServiceName& name, const ServiceDirectory::ServiceView& view) {
   auto& tracker = trackers_[name];
   auto now = clock_.now();
   bool leased = guide_.leased(name);
--- a/src/pooler/pooler.hpp
+++ b/src/pooler/pooler.hpp
@@ -5,7 +5,7 @@
 #include "base/journal.hpp"
 #include "control/plan_version_check.hpp"
 #include "control/report_messages.hpp"
-#include "pool/guide.hpp"
+#include "proxy/service_directory.hpp"
 #include "pooler/reply_check.hpp"
 #include "pooler/back_end_pool.hpp"
 #include "pooler/connection_request_queue.hpp"
@@ -24,7 +24,7 @@
  public:
   using Reports = std::function<void(NodeReport)>;
 
-  Pooler(Clock& clock, Guide& guide, BackEndConnector& connector, Journal& journal, PoolerSettings settings, std::uint64_t boot,
+  Pooler(Clock& clock, ServiceDirectory& guide, BackEndConnector& connector, Journal& journal, PoolerSettings settings, std::uint64_t boot,
          Reports reports);
 
   // nothing, with the fault and reason left in `refusal`, where no session can be had
@@ -65,7 +65,7 @@
   struct Route {
     KindName name;
     const PlanKind* kind = nullptr;
-    const Guide::ServiceView* service = nullptr;
+    const ServiceDirectory::ServiceView* service = nullptr;
   };
   struct Acquired {
     std::shared_ptr<PooledBackEnd> connection;
@@ -81,10 +81,10 @@
   void supervise();
   // whether an epoch is seen and work of the one before still runs
   bool epochChangePending() const;
-  void superviseService(const ServiceName& name, const Guide::ServiceView& view);
-  nlohmann::json serviceStatus(const ServiceName& name, const Guide::ServiceView& view) const;
+  void superviseService(const ServiceName& name, const ServiceDirectory::ServiceView& view);
+  nlohmann::json serviceStatus(const ServiceName& name, const ServiceDirectory::ServiceView& view) const;
   /// What keeps a service from serving at its primary now, in words.
-  std::vector<std::string> unavailabilityReasons(const ServiceName& name, const Guide::ServiceView& view) const;
+  std::vector<std::string> unavailabilityReasons(const ServiceName& name, const ServiceDirectory::ServiceView& view) const;
   /// The same for a statement that waits, short enough for a reply.
   std::string waitReason(const ConnectionRequest& request) const;
   Task<StatementReply> runStatement(Session session, Statement statement);
@@ -127,8 +127,8 @@
   void assignConnections();
   void assignConnection(const ConnectionRequestQueue::Request& request);
   // whether work of this order must wait, since earlier orders have the crowded database's connections
-  bool rationed(const Guide::ServiceView& view, const DatabaseName& database, std::uint32_t order) const;
-  bool anyRationed(const Guide::ServiceView& view, const ConnectionRequest& request) const;
+  bool rationed(const ServiceDirectory::ServiceView& view, const DatabaseName& database, std::uint32_t order) const;
+  bool anyRationed(const ServiceDirectory::ServiceView& view, const ConnectionRequest& request) const;
   void measureDemand();
   std::vector<DatabaseName> candidates(const ConnectionRequest& request, const Route& route, std::optional<LogPosition>& minPosition) const;
   bool mayRunOn(const Connection& connection, const KindName& kind, bool inTransaction) const;
@@ -140,7 +140,7 @@
   void noteCommitPosition(ClientSession& session, const Connection& connection, const BackEndReply& reply);
   void failTransaction(ClientSession& session);
   // how many connections may be held to a database of the service, and whether one more fits
-  std::uint32_t connectionLimit(const ServiceName& name, const Guide::ServiceView& view) const;
+  std::uint32_t connectionLimit(const ServiceName& name, const ServiceDirectory::ServiceView& view) const;
   bool hasRoom(const DatabaseTarget& target) const;
   Duration statementTimeout(const KindName& kind) const;
   // how long work that may be done again is waited for, from what such work usually takes
@@ -148,7 +148,7 @@
   void noteLatency(const KindName& kind, Duration latency);
 
   Clock& clock_;
-  Guide& guide_;
+  ServiceDirectory& guide_;
   Journal& journal_;
   PoolerSettings settings_;
   std::uint64_t boot_;
--- a/src/pooler/pooler_serving.cpp
+++ b/src/pooler/pooler_serving.cpp
@@ -65,14 +65,14 @@
   }
 }
 
-bool Pooler::rationed(const Guide::ServiceView& view, const DatabaseName& database, std::uint32_t order) const {
+bool Pooler::rationed(const ServiceDirectory::ServiceView& view, const DatabaseName& database, std::uint32_t order) const {
   auto ration = view.rations.find(database);
   if (ration == view.rations.end() || order <= ration->second.freeThrough) return false;
   const auto* databasePool = pool_.find(database);
   return (databasePool ? databasePool->busyAboveOrder(ration->second.freeThrough) : 0) >= ration->second.laterAt(settings_.node);
 }
 
-bool Pooler::anyRationed(const Guide::ServiceView& view, const ConnectionRequest& request) const {
+bool Pooler::anyRationed(const ServiceDirectory::ServiceView& view, const ConnectionRequest& request) const {
   return std::any_of(view.rations.begin(), view.rations.end(), [&](const auto& each) {
     return (!request.atPrimary || each.first == view.primary.primary) && rationed(view, each.first, request.order);
   });
--- a/src/pooler/pooler_status.cpp
+++ b/src/pooler/pooler_status.cpp
@@ -47,7 +47,7 @@
   return json;
 }
 
-std::vector<std::string> Pooler::unavailabilityReasons(const ServiceName& name, const Guide::ServiceView& view) const {
+std::vector<std::string> Pooler::unavailabilityReasons(const ServiceName& name, const ServiceDirectory::ServiceView& view) const {
   std::vector<std::string> found;
   const auto& primary = view.primary;
   const auto* databasePool = pool_.find(primary.primary);
@@ -67,7 +67,7 @@
   return found;
 }
 
-Json Pooler::serviceStatus(const ServiceName& name, const Guide::ServiceView& view) const {
+Json Pooler::serviceStatus(const ServiceName& name, const ServiceDirectory::ServiceView& view) const {
   auto now = clock_.now();
   const auto& primary = view.primary;
   Json own{{"epoch", primary.epoch.get()},
@@ -76,7 +76,7 @@
            {"share", connectionLimit(name, view)}};
   auto lease = guide_.leaseUntil(name);
   own["lease_ms"] = lease ? milliseconds(*lease - now).count() : 0;
-  if (auto reason = guide_.shareless(name)) own["shareless"] = *reason;
+  if (auto reason = guide_.missingShareReason(name)) own["shareless"] = *reason;
   if (auto waits = unavailabilityReasons(name, view); !waits.empty()) own["waits"] = waits;
   own["databases"] = Json::object();
   for (const auto& [database, info] : view.databases) {
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -150,7 +150,7 @@
 
 TEST_CASE("a crashed primary that no one works at is replaced after its silence") {
   Discovered cluster;
-  cluster.databases.at("d1").unresponsive = true;
+  cluster.databases.at("d1").unreachable = true;
   CHECK_FALSE(cluster.runUntil(700ms, [&] {
     return !cluster.promoted("d1");
   }));
@@ -204,7 +204,7 @@
   CHECK(cluster.service().plannedSwitchover);
   cluster.run(600ms);
   CHECK(former.demotedWith.empty());
-  former.logPosition.position = Position{120};
+  former.place.position = Position{120};
   cluster.follows = true;
   REQUIRE(cluster.runUntil(1s, [&] {
     return !former.demotedWith.empty();
@@ -287,7 +287,7 @@
 }
 
 TEST_CASE("enrolments are in the news and in the snapshot, also of services no plan names") {
-  NewsBoard board;
+  UpdateStore board;
   ControlState state(board);
   std::uint64_t position = 0;
   auto apply = [&]<class Body>(ControlCommandType matter, const Body& body) {
@@ -309,7 +309,7 @@
   REQUIRE(table.contains("database/d1"));
   CHECK(unpacked<PublishedDatabase>(table.at("database/d1"))->address == Address{"10.2.0.1:1"});
   CHECK(apply(ControlCommandType::drainDatabase, DatabaseCommand{ServiceName{"s2"}, DatabaseName{"d2"}, 0, 2, false}) == "held");
-  NewsBoard otherBoard;
+  UpdateStore otherBoard;
   ControlState other(otherBoard);
   REQUIRE(other.restore(state.snapshot()));
   CHECK(other.enrolled(ServiceName{"s2"}, DatabaseName{"d2"})->address == Address{"10.2.0.2:1"});
--- a/tests/former_primary_test.cpp
+++ b/tests/former_primary_test.cpp
@@ -12,7 +12,7 @@
   explicit FormerPrimary(std::uint32_t syncReplicas = 0) : DiscoveredCluster(syncReplicas) {
     own().hasRecentWork = true;
     auto& former = databases.at("d1");
-    former.unresponsive = true;
+    former.unreachable = true;
     own().suspects = {DatabaseName{"d1"}};
     REQUIRE(runUntil(5s, [&] {
       return promoted("d2");
@@ -23,7 +23,7 @@
 
   // the former primary is reached again and still says that it leads, the next one crashes
   void comesBack() {
-    databases.at("d1").unresponsive = false;
+    databases.at("d1").unreachable = false;
     own().suspects = {};
     databases.sendHeartbeat("d1");
     run(20ms);
@@ -57,7 +57,7 @@
   REQUIRE(cluster.promotedWhileTelling(15s));
   const auto& former = cluster.databases.at("d1");
   CHECK(former.promoteCalls == 1);
-  CHECK(former.becamePrimaryAt > former.promoteCalledAt);
+  CHECK(former.ledAt > former.promoteCalledAt);
   CHECK(former.term() > cluster.databases.at("d2").term());
   CHECK(cluster.service().confirmedTerm == former.term());
 }
--- a/tests/invariant_checks_test.cpp
+++ b/tests/invariant_checks_test.cpp
@@ -6,7 +6,7 @@
 #include "control/plan_version_check.hpp"
 #include "control/share_check.hpp"
 #include "pooler/reply_check.hpp"
-#include "tests/check_trial.hpp"
+#include "tests/journal_fixture.hpp"
 
 using namespace tamarindshift;
 
@@ -21,7 +21,7 @@
 }  // namespace
 
 TEST_CASE("invariants: a write that is acknowledged without a lease or in another epoch is reported") {
-  CheckTrial trial;
+  JournalFixture trial;
   AcknowledgementFacts facts;
   facts.makesDurable = true;
   checkAcknowledgement(trial.journal, facts);
@@ -42,7 +42,7 @@
 }
 
 TEST_CASE("invariants: a statement that is held past its bound is reported") {
-  CheckTrial trial;
+  JournalFixture trial;
   checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 1200ms, noon + 800ms}, context);
   CHECK(trial.violations() == 0);
   checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 9s, Instant::max()}, context);
@@ -55,7 +55,7 @@
 }
 
 TEST_CASE("invariants: granted and reserved shares that together exceed the connections of a branch are reported") {
-  CheckTrial trial;
+  JournalFixture trial;
   const BranchName work{"work"};
   const ServiceName name{"s1"};
   PlanService planned;
@@ -83,7 +83,7 @@
 }
 
 TEST_CASE("invariants: a fencing token that falls, or a call by a node that is not on duty, is reported") {
-  CheckTrial trial;
+  JournalFixture trial;
   DutyEpochCheck tokens(trial.journal);
   tokens.note(3, true);
   tokens.note(3, true);
@@ -99,7 +99,7 @@
 }
 
 TEST_CASE("invariants: a plan version that goes back is reported once for each time") {
-  CheckTrial trial;
+  JournalFixture trial;
   PlanVersionCheck versions(trial.journal);
   CHECK_FALSE(versions.note(PlanVersion{4}));
   CHECK(versions.note(PlanVersion{4}));
--- a/tests/scripted_databases.hpp
+++ b/tests/scripted_databases.hpp
@@ -24,7 +24,7 @@
     /// False: the process is down; calls fail at once.
     bool up = true;
     /// Calls time out and no heartbeats arrive.
-    bool unresponsive = false;
+    bool unreachable = false;
     /// No heartbeats arrive; calls are answered.
     bool heartbeatsStopped = false;
     /// Reply to a promote call.
@@ -47,15 +47,15 @@
   Database& at(const std::string& name) { return databases_.at(DatabaseName{name}); }
   void add(const DatabaseHeartbeat& heartbeat, LogPosition logPosition);
   /// Adds a database that never sent a heartbeat and answers no call.
-  void addUnresponsive(const std::string& name) { databases_[DatabaseName{name}].unresponsive = true; }
+  void addUnreachable(const std::string& name) { databases_[DatabaseName{name}].unreachable = true; }
   /// Sends a heartbeat now.
   void sendHeartbeat(const std::string& name);
   std::uint64_t statusCalls() const;
   /// The holder of each promote call.
   const std::vector<DutyHolder>& holders() const { return holders_; }
 
-  Task<std::optional<DatabaseStanding>> status(DatabaseTarget target, Instant deadline) override;
-  Task<std::optional<DatabaseStanding>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override;
+  Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) override;
+  Task<std::optional<DatabaseStatus>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override;
   Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) override;
 
  private:
@@ -63,8 +63,8 @@
   Task<void> becomePrimary(DatabaseName name);
   Task<void> deliver(DatabaseHeartbeat heartbeat);
   Task<bool> answers(DatabaseName name, Instant deadline);
-  DatabaseStanding standing(const Database& database) const {
-    return DatabaseStanding{database.heartbeat.role, database.logPosition.epoch, database.logPosition.position, {}, database.term()};
+  DatabaseStatus standing(const Database& database) const {
+    return DatabaseStatus{database.heartbeat.role, database.logPosition.epoch, database.logPosition.position, {}, database.term()};
   }
 
   Clock& clock_;
