--- a/tests/former_primary_test.cpp
+++ b/tests/former_primary_test.cpp
@@ -57,7 +57,7 @@
   REQUIRE(cluster.promotedWhileTelling(15s));
   const auto& former = cluster.databases.at("d1");
   CHECK(former.promoteCalls == 1);
-  CHECK(former.ledAt > former.promoteCalledAt);
+  CHECK(former.becamePrimaryAt > former.promoteCalledAt);
   CHECK(former.term() > cluster.databases.at("d2").term());
   CHECK(cluster.service().confirmedTerm == former.term());
 }
