--- a/tests/invariant_checks_test.cpp
+++ b/tests/invariant_checks_test.cpp
@@ -1,4 +1,4 @@
-// Each invariant that is not about sending is seen to hold for what is sound and to notice its rule broken.
+// Each invariant check, other than those on sending, must accept correct events and report a violation of its rule.
 
 #include <catch2/catch.hpp>
 
@@ -14,13 +14,13 @@
 
 const Instant noon{Duration{12h}};
 
-std::string somewhere() {
+std::string context() {
   return "'7' of r1";
 }
 
 }  // namespace
 
-TEST_CASE("invariants: a kept write acknowledged without a lease or in another epoch is noticed") {
+TEST_CASE("invariants: a write that is acknowledged without a lease or in another epoch is reported") {
   JournalFixture trial;
   AcknowledgementFacts facts;
   facts.makesDurable = true;
@@ -41,20 +41,20 @@
   CHECK(trial.checked(Invariant::acknowledgedUnderLease) == 3);
 }
 
-TEST_CASE("invariants: a statement that is held past its bound is noticed") {
+TEST_CASE("invariants: a statement that is held past its bound is reported") {
   JournalFixture trial;
-  checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 1200ms, noon + 800ms}, somewhere);
+  checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 1200ms, noon + 800ms}, context);
   CHECK(trial.violations() == 0);
-  checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 9s, Instant::max()}, somewhere);
-  checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 9s, noon + 800ms, true}, somewhere);
+  checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 9s, Instant::max()}, context);
+  checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 9s, noon + 800ms, true}, context);
   CHECK(trial.violations() == 0);
-  checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 1301ms, noon + 800ms}, somewhere);
+  checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 1301ms, noon + 800ms}, context);
   CHECK(trial.violations() == 1);
   REQUIRE(trial.lines.size() == 1);
   CHECK(trial.lines.front().find("'7' of r1 was held for 1301 ms") != std::string::npos);
 }
 
-TEST_CASE("invariants: shares that sum past the cap of a branch are noticed, granted and reserved ones together") {
+TEST_CASE("invariants: granted and reserved shares that together exceed the connections of a branch are reported") {
   JournalFixture trial;
   const BranchName work{"work"};
   const ServiceName name{"s1"};
@@ -82,23 +82,23 @@
   CHECK(trial.violated(Invariant::sharesWithinBranch) == 1);
 }
 
-TEST_CASE("invariants: a fence that falls, or a call by a node without duties, is noticed") {
+TEST_CASE("invariants: a fencing token that falls, or a call by a node that is not on duty, is reported") {
   JournalFixture trial;
-  DutyEpochCheck fences(trial.journal);
-  fences.note(3, true);
-  fences.note(3, true);
-  fences.note(5, true);
+  DutyEpochCheck tokens(trial.journal);
+  tokens.note(3, true);
+  tokens.note(3, true);
+  tokens.note(5, true);
   CHECK(trial.violations() == 0);
-  fences.note(4, true);
+  tokens.note(4, true);
   CHECK(trial.violations() == 1);
-  fences.note(5, false);
+  tokens.note(5, false);
   CHECK(trial.violations() == 1);
-  fences.note(5, true);
+  tokens.note(5, true);
   CHECK(trial.violations() == 0);
   CHECK(trial.violated(Invariant::dutyEpochNeverFalls) == 2);
 }
 
-TEST_CASE("invariants: a version that goes back is noticed once for each time") {
+TEST_CASE("invariants: a plan version that goes back is reported once for each time") {
   JournalFixture trial;
   PlanVersionCheck versions(trial.journal);
   CHECK_FALSE(versions.note(PlanVersion{4}));
--- a/tests/scripted_databases.cpp
+++ b/tests/scripted_databases.cpp
@@ -7,7 +7,7 @@
   added = Database{};
   added.heartbeat = heartbeat;
   added.logPosition = logPosition;
-  scope_.spawn(heartbeats(heartbeat.database));
+  scope_.spawn(sendHeartbeats(heartbeat.database));
 }
 
 void ScriptedDatabases::sendHeartbeat(const std::string& name) {
@@ -26,7 +26,7 @@
   co_await deliver_(heartbeat);
 }
 
-Task<void> ScriptedDatabases::heartbeats(DatabaseName name) {
+Task<void> ScriptedDatabases::sendHeartbeats(DatabaseName name) {
   for (;;) {
     sendHeartbeat(name.get());
     co_await sleep(clock_, 1200ms);
@@ -67,7 +67,7 @@
   holders_.push_back(holder);
   auto& own = databases_[target.database];
   ++own.promoteCalls;
-  own.promotedAt = clock_.now();
+  own.promoteCalledAt = clock_.now();
   if (own.promotion == PromotionOutcome::unanswered)
     co_await sleep(clock_, deadline - clock_.now());
   else
--- a/tests/scripted_databases.hpp
+++ b/tests/scripted_databases.hpp
@@ -1,5 +1,7 @@
 #pragma once
 
+// Databases with scripted behaviour, as test doubles for DatabaseControl.
+
 #include <functional>
 
 #include "base/gate.hpp"
@@ -10,24 +12,32 @@
 
 namespace tamarindshift {
 
+/// Databases that send heartbeats and answer status, demote and promote calls as the test sets them up.
 class ScriptedDatabases : public DatabaseControl {
  public:
   struct Database {
     DatabaseHeartbeat heartbeat;
+    /// Position of the last entry of its log.
     LogPosition logPosition;
-    /// The newest term it knows of, where that is above the one of its log.
+    /// The newest term that it knows, if higher than the epoch of its log.
     Epoch newestTerm;
+    /// False: the process is down; calls fail at once.
     bool up = true;
+    /// Calls time out and no heartbeats arrive.
     bool unreachable = false;
+    /// No heartbeats arrive; calls are answered.
     bool heartbeatsStopped = false;
+    /// Reply to a promote call.
     PromotionOutcome promotion = PromotionOutcome::accepted;
+    /// Whether an accepted promotion takes effect.
     bool promotesWhenAccepted = true;
     std::uint64_t statusCalls = 0;
     std::uint64_t promoteCalls = 0;
     std::vector<Epoch> demotedWith;
     Instant demotedAt{};
-    Instant promotedAt{};
-    /// When it last began to lead by a promotion.
+    /// When promote was last called.
+    Instant promoteCalledAt{};
+    /// When a promotion last took effect.
     Instant becamePrimaryAt{};
     Epoch term() const { return std::max(newestTerm, logPosition.epoch); }
   };
@@ -36,10 +46,12 @@
   ScriptedDatabases(Clock& clock, Deliver deliver) : clock_(clock), deliver_(std::move(deliver)) {}
   Database& at(const std::string& name) { return databases_.at(DatabaseName{name}); }
   void add(const DatabaseHeartbeat& heartbeat, LogPosition logPosition);
-  // a database that never sent a heartbeat and answers nothing
+  /// Adds a database that never sent a heartbeat and answers no call.
   void addUnreachable(const std::string& name) { databases_[DatabaseName{name}].unreachable = true; }
+  /// Sends a heartbeat now.
   void sendHeartbeat(const std::string& name);
   std::uint64_t statusCalls() const;
+  /// The holder of each promote call.
   const std::vector<DutyHolder>& holders() const { return holders_; }
 
   Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) override;
@@ -47,7 +59,7 @@
   Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) override;
 
  private:
-  Task<void> heartbeats(DatabaseName name);
+  Task<void> sendHeartbeats(DatabaseName name);
   Task<void> becomePrimary(DatabaseName name);
   Task<void> deliver(DatabaseHeartbeat heartbeat);
   Task<bool> answers(DatabaseName name, Instant deadline);
