--- a/src/control/control_news.cpp
+++ b/src/control/control_news.cpp
@@ -9,7 +9,7 @@
 
 void ControlState::touchAll() {
   touched_.insert(fleetTopic);
-  for (const auto& [topic, entry] : board_.entries()) touched_.insert(topic);
+  for (const auto& [topic, entry] : board_.topics()) touched_.insert(topic);
   if (!plan_) return;
   for (const auto& [name, service] : plan_->services) touch(name);
 }
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -402,7 +402,7 @@
 
 std::string ControlState::snapshot() const {
   std::map<Topic, std::uint64_t> marks;
-  for (const auto& [topic, entry] : board_.entries()) marks[topic] = entry->mark;
+  for (const auto& [topic, entry] : board_.topics()) marks[topic] = entry->mark;
   return packed(
       ControlSnapshot{planText_, services_, nodes_, dutyEpoch_, position_, retired_, enrolled_, std::move(marks), versions_, departed_});
 }
--- a/src/programs/proxy.cpp
+++ b/src/programs/proxy.cpp
@@ -14,11 +14,11 @@
   program.add(addressSetting("address", "own loopback address towards the agent", own));
   program.add(addressSetting("http", "address that clients are served on", http));
   program.add(addressSetting("agent", "address of the agent on this machine", settings.agent));
-  program.add(reread(numberSetting("queue", "most requests that wait in one branch", settings.queue, 1, 100000)));
-  program.add(reread(numberSetting("sessions", "most open sessions", settings.sessions, 1, 1000000)));
-  program.add(
-      reread(durationSetting("idle-in-transaction", "longest idle time of an open transaction", settings.idleInTransaction, 100ms, 600s)));
-  program.add(reread(durationSetting("idle-session", "longest idle time of a session", settings.idleSession, 1s, 86400s)));
+  program.add(reread(numberSetting("queue", "most requests that wait in one branch", settings.maxQueued, 1, 100000)));
+  program.add(reread(numberSetting("sessions", "most open sessions", settings.maxSessions, 1, 1000000)));
+  program.add(reread(
+      durationSetting("idle-in-transaction", "longest idle time of an open transaction", settings.idleTransactionTimeout, 100ms, 600s)));
+  program.add(reread(durationSetting("idle-session", "longest idle time of a session", settings.idleSessionTimeout, 1s, 86400s)));
   program.add(detoursSetting(detours));
   program.add(timingSettings(settings.timings));
   if (auto code = program.read(argumentCount, arguments)) return *code;
--- a/src/proxy/database_json.cpp
+++ b/src/proxy/database_json.cpp
@@ -13,21 +13,21 @@
 using Json = nlohmann::json;
 constexpr std::array<const char*, 7> operationNames{"statement", "begin", "commit", "rollback", "prepare", "execute", "set"};
 
-Json standingJson(const DatabaseStatus& standing) {
-  return Json{{"role", standing.role},
-              {"epoch", standing.epoch.get()},
-              {"position", standing.position.get()},
-              {"contact_age_ms", milliseconds(standing.contactAge).count()}};
+Json statusJson(const DatabaseStatus& status) {
+  return Json{{"role", status.role},
+              {"epoch", status.epoch.get()},
+              {"position", status.position.get()},
+              {"contact_age_ms", milliseconds(status.contactAge).count()}};
 }
 
-DatabaseStatus standingOf(const Json& json) {
+DatabaseStatus statusOf(const Json& json) {
   Epoch epoch{wholeNumber(json.at("epoch"))};
   return DatabaseStatus{json.at("role").get<std::string>(), epoch, Position{wholeNumber(json.at("position"))},
                         std::chrono::milliseconds{std::min(wholeNumber(json.at("contact_age_ms")), mostAge)}, epoch};
 }
 
 template <class Reader>
-auto guarded(const std::string& body, Reader reader) -> std::optional<decltype(reader(Json{}))> {
+auto parsed(const std::string& body, Reader reader) -> std::optional<decltype(reader(Json{}))> {
   try {
     return reader(Json::parse(body));
   } catch (const Json::exception&) {
@@ -57,7 +57,7 @@
 }
 
 std::optional<DatabaseRequest> requestFromJson(const std::string& body) {
-  return guarded(body, [](const Json& json) {
+  return parsed(body, [](const Json& json) {
     DatabaseRequest request;
     auto operation = parseOperation(json.at("operation").get<std::string>());
     request.operation = operation.value_or(Operation::statement);
@@ -71,7 +71,7 @@
 }
 
 std::string replyToJson(const DatabaseReply& reply) {
-  Json json{{"done", reply.done}, {"result", reply.result}, {"standing", standingJson(reply.standing)}};
+  Json json{{"done", reply.done}, {"result", reply.result}, {"standing", statusJson(reply.status)}};
   if (!reply.reason.empty()) json["reason"] = reply.reason;
   if (!reply.replicated) json["replicated"] = false;
   if (reply.commitPosition != Position{}) json["kept_at"] = reply.commitPosition.get();
@@ -79,9 +79,9 @@
 }
 
 std::optional<DatabaseReply> replyFromJson(const std::string& body) {
-  return guarded(body, [](const Json& json) {
-    auto standing = standingOf(json.at("standing"));
-    Position commitPosition{json.contains("kept_at") ? wholeNumber(json["kept_at"]) : standing.position.get()};
+  return parsed(body, [](const Json& json) {
+    auto status = statusOf(json.at("standing"));
+    Position commitPosition{json.contains("kept_at") ? wholeNumber(json["kept_at"]) : status.position.get()};
     return DatabaseReply{json.at("done").get<bool>(),
                          json.value("replicated", true),
                          json.value("reason", ""),
@@ -91,13 +91,13 @@
   });
 }
 
-std::string statusToJson(const DatabaseStatus& standing) {
-  return standingJson(standing).dump();
+std::string statusToJson(const DatabaseStatus& status) {
+  return statusJson(status).dump();
 }
 
 std::optional<DatabaseStatus> statusFromJson(const std::string& body) {
-  return guarded(body, [](const Json& json) {
-    return standingOf(json);
+  return parsed(body, [](const Json& json) {
+    return statusOf(json);
   });
 }
 
--- a/src/proxy/json_database_control.cpp
+++ b/src/proxy/json_database_control.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::optional<DatabaseStatus> standingOf(const std::optional<WebOutcome>& outcome) {
+std::optional<DatabaseStatus> statusOf(const std::optional<WebOutcome>& outcome) {
   if (!outcome || outcome->status != 200) return std::nullopt;
   return statusFromJson(outcome->body);
 }
@@ -17,13 +17,13 @@
 
 Task<std::optional<DatabaseStatus>> JsonDatabaseControl::status(DatabaseTarget target, Instant deadline) {
   auto outcome = co_await web_.call(target.address, "GET", "/status", {}, deadline);
-  co_return standingOf(outcome);
+  co_return statusOf(outcome);
 }
 
 Task<std::optional<DatabaseStatus>> JsonDatabaseControl::demote(DatabaseTarget target, Epoch epoch, Instant deadline) {
   nlohmann::json body{{"epoch", epoch.get()}};
   auto outcome = co_await web_.call(target.address, "POST", "/demote", body.dump(), deadline);
-  co_return standingOf(outcome);
+  co_return statusOf(outcome);
 }
 
 Task<PromotionOutcome> JsonDatabaseControl::promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) {
--- a/src/proxy/json_database_control.hpp
+++ b/src/proxy/json_database_control.hpp
@@ -1,3 +1,4 @@
+// Status, demotion and promotion of databases over HTTP and JSON.
 #pragma once
 
 #include "control/database_control.hpp"
@@ -5,9 +6,11 @@
 
 namespace tamarindshift {
 
+/// Asks databases themselves for status and demotion, and the platform for promotion.
 class JsonDatabaseControl : public DatabaseControl {
  public:
   JsonDatabaseControl(WebLink& web, Address platform) : web_(web), platform_(std::move(platform)) {}
+  /// Sets the address that promotions are requested at.
   void change(Address platform) { platform_ = std::move(platform); }
 
   Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) override;
--- a/src/proxy/pooled_connection.hpp
+++ b/src/proxy/pooled_connection.hpp
@@ -1,3 +1,4 @@
+// A connection of the pool, idle or in use.
 #pragma once
 
 #include "proxy/database_link.hpp"
@@ -10,14 +11,21 @@
   ServiceName service;
   DatabaseName database;
   Address address;
+  /// The branch whose share the connection counts against while it is busy.
   BranchName branch;
+  /// The kind of the request that it was last used for.
   KindName kind;
+  /// The epoch of the primary when the connection was last chosen for a request.
   Epoch epoch;
   std::unique_ptr<DatabaseConnection> link;
+  /// The session that holds the connection for a transaction or session state.
   std::weak_ptr<Session> pinnedBy;
-  std::optional<Instant> misfitSince;
+  /// Since when the plan no longer allows this use of the connection.
+  std::optional<Instant> mismatchSince;
+  /// A request is underway on it.
   bool running = false;
-  bool doomed = false;
+  /// Set by `ConnectionPool::drop`: the connection is never used again, and is closed once its request has ended.
+  bool mustClose = false;
 };
 
 }  // namespace tamarindshift
--- a/src/proxy/proxy_node.cpp
+++ b/src/proxy/proxy_node.cpp
@@ -21,39 +21,39 @@
           }),
       directory_(clock, feed_, settings_.node, boot_),
       pool_(clock, databases, journal) {
-  scope_.spawn(work());
-  scope_.spawn(tick());
-  scope_.spawn(report());
+  scope_.spawn(runCommands());
+  scope_.spawn(supervise());
+  scope_.spawn(sendReports());
 }
 
-Task<void> ProxyNode::work() {
+Task<void> ProxyNode::runCommands() {
   for (;;) {
     auto command = co_await queue_.take(clock_);
     command();
-    passes();
+    processWaiting();
   }
 }
 
-Task<void> ProxyNode::tick() {
+Task<void> ProxyNode::supervise() {
   for (;;) {
     co_await sleep(clock_, 20ms);
     queue_.put([this] {
       directory_.refresh();
-      careServices();
-      careBusy();
-      careIdleSessions();
+      superviseServices();
+      superviseBusyConnections();
+      closeIdleSessions();
     });
   }
 }
 
-Task<void> ProxyNode::report() {
+Task<void> ProxyNode::sendReports() {
   for (;;) {
     auto report = makeReport();
-    if (presses(report) || clock_.now() - reportedAt_ >= settings_.timings.report) {
+    if (isUrgent(report) || clock_.now() - lastReportAt_ >= settings_.timings.report) {
       desk_.tell(settings_.agent, "report", packed(report));
       journal_.count("reports.sent");
-      reported_ = std::move(report);
-      reportedAt_ = clock_.now();
+      lastReport_ = std::move(report);
+      lastReportAt_ = clock_.now();
     }
     co_await sleep(clock_, settings_.timings.reportPause);
   }
@@ -69,12 +69,12 @@
   for (const auto& [name, view] : directory_.services()) {
     if (!view.plan) continue;
     auto& own = report.services[name];
-    own.followed = followed_[name];
+    own.followed = followedMarks_[name];
     own.epoch = view.primary.epoch;
     own.acknowledged = acknowledged_[name];
-    own.working = now - workedAt_[name] < settings_.timings.suspicionKept;
-    for (const auto& [database, unreached] : unreached_[name])
-      if (unreached.attempts > 1 && now - unreached.at < settings_.timings.suspicionKept) own.suspects.insert(database);
+    own.working = now - lastWorkAt_[name] < settings_.timings.suspicionKept;
+    for (const auto& [database, unreachable] : unreachable_[name])
+      if (unreachable.attempts > 1 && now - unreachable.at < settings_.timings.suspicionKept) own.suspects.insert(database);
     if (auto until = directory_.leaseUntil(name)) report.lease = std::max(report.lease, *until - now);
     for (const auto& [branch, planned] : view.plan->service.branches) {
       auto held = pool_.mostBusyOnOneDatabase(name, branch);
@@ -87,44 +87,45 @@
   return report;
 }
 
-bool ProxyNode::presses(const NodeReport& report) const {
-  if (report.draining != reported_.draining || report.mark != reported_.mark || report.services.size() != reported_.services.size())
+bool ProxyNode::isUrgent(const NodeReport& report) const {
+  if (report.draining != lastReport_.draining || report.mark != lastReport_.mark || report.services.size() != lastReport_.services.size())
     return true;
   return std::any_of(report.services.begin(), report.services.end(), [&](const auto& each) {
     const auto& [name, own] = each;
-    auto before = reported_.services.find(name);
-    if (before == reported_.services.end()) return true;
+    auto before = lastReport_.services.find(name);
+    if (before == lastReport_.services.end()) return true;
     const auto& share = directory_.service(name)->share.most;
-    bool shorter = std::any_of(own.wanted.begin(), own.wanted.end(), [&](const auto& want) {
+    bool needsMore = std::any_of(own.wanted.begin(), own.wanted.end(), [&](const auto& want) {
       auto granted = share.find(want.first);
-      auto told = before->second.wanted.find(want.first);
+      auto reported = before->second.wanted.find(want.first);
       return granted != share.end() && want.second > granted->second &&
-             (told == before->second.wanted.end() || told->second <= granted->second);
+             (reported == before->second.wanted.end() || reported->second <= granted->second);
     });
-    return shorter || own.followed != before->second.followed || own.epoch != before->second.epoch ||
+    return needsMore || own.followed != before->second.followed || own.epoch != before->second.epoch ||
            own.working != before->second.working || own.suspects != before->second.suspects;
   });
 }
 
-void ProxyNode::noteUnreached(const ServiceName& service, const DatabaseName& database) {
-  auto& unreached = unreached_[service][database];
-  ++unreached.attempts;
-  unreached.at = clock_.now();
+void ProxyNode::recordUnreachable(const ServiceName& service, const DatabaseName& database) {
+  auto& unreachable = unreachable_[service][database];
+  ++unreachable.attempts;
+  unreachable.at = clock_.now();
 }
 
-void ProxyNode::passes() {
-  expirePass();
-  placePass();
+void ProxyNode::processWaiting() {
+  expireWaiting();
+  placeWaiting();
 }
 
-std::shared_ptr<Session> ProxyNode::openSession(const KindName& kind, std::map<ServiceName, Position> own, ConnectionId clientConnection) {
-  if (draining() || sessions_.size() >= settings_.sessions) return nullptr;
+std::shared_ptr<Session> ProxyNode::openSession(const KindName& kind, std::map<ServiceName, Position> minPositions,
+                                                ConnectionId clientConnection) {
+  if (draining() || sessions_.size() >= settings_.maxSessions) return nullptr;
   auto session = std::make_shared<Session>();
   session->id = SessionId{std::to_string(boot_ % 1000000) + "-" + std::to_string(++lastSession_)};
   session->kind = kind;
-  session->own = std::move(own);
+  session->minPositions = std::move(minPositions);
   session->clientConnection = clientConnection;
-  session->usedAt = clock_.now();
+  session->lastUsedAt = clock_.now();
   sessions_[session->id] = session;
   journal_.count("sessions.opened");
   return session;
@@ -138,22 +139,22 @@
 void ProxyNode::closeSession(const std::shared_ptr<Session>& session) {
   session->closing = true;
   sessions_.erase(session->id);
-  dropPin(session);
+  closePinnedConnection(session);
 }
 
 void ProxyNode::clientDisconnected(ConnectionId clientConnection) {
   for (const auto& [id, session] : sessions_)
     if (session->clientConnection == clientConnection && (session->inTransaction || session->busy)) {
       journal_.count("sessions.walked_away");
-      session->left = session->busy;
+      session->clientLeft = session->busy;
       if (session->inTransaction) session->transactionLost = true;
       if (session->stateful) session->stateLost = true;
       session->inTransaction = session->stateful = false;
-      dropPin(session);
+      closePinnedConnection(session);
     }
 }
 
-void ProxyNode::dropPin(const std::shared_ptr<Session>& session) {
+void ProxyNode::closePinnedConnection(const std::shared_ptr<Session>& session) {
   if (!session->pinned) return;
   auto connection = std::exchange(session->pinned, nullptr);
   pool_.drop(connection);
@@ -164,84 +165,84 @@
   record->session = session;
   record->kind = std::move(kind);
   record->request = std::move(request);
-  record->enrolledAt = clock_.now();
-  record->giveUpAt = clock_.now() + settings_.timings.queuePatience;
-  session->usedAt = clock_.now();
+  record->createdAt = clock_.now();
+  record->queueDeadline = clock_.now() + settings_.timings.queuePatience;
+  session->lastUsedAt = clock_.now();
   session->busy = true;
   queue_.put([this, record] {
-    enrolPass(record);
+    admit(record);
   });
   while (record->stage != RequestStage::replied) co_await record->replied.wait(clock_);
   session->busy = false;
-  session->usedAt = clock_.now();
+  session->lastUsedAt = clock_.now();
   co_return record->reply;
 }
 
-void ProxyNode::careBusy() {
+void ProxyNode::superviseBusyConnections() {
   auto now = clock_.now();
   auto busy = pool_.busyConnections();
   for (const auto& connection : busy) {
-    if (connection->doomed) continue;
+    if (connection->mustClose) continue;
     auto session = connection->pinnedBy.lock();
     bool pinned = session && session->pinned == connection && !connection->running;
     const auto* service = directory_.service(connection->service);
-    bool fits = service && service->plan && !misfit(connection->kind, *connection);
+    bool fits = service && service->plan && !mismatch(connection->kind, *connection);
     if (fits && pinned) {
       const auto& branch = service->plan->kinds.at(connection->kind).branch;
-      fits = branch == connection->branch || pool_.rebook(connection, *service, branch);
+      fits = branch == connection->branch || pool_.moveToBranch(connection, *service, branch);
     }
     if (fits)
-      connection->misfitSince.reset();
-    else if (!connection->misfitSince)
-      connection->misfitSince = now;
-    bool late = connection->misfitSince && now - *connection->misfitSince > settings_.timings.planGrace();
+      connection->mismatchSince.reset();
+    else if (!connection->mismatchSince)
+      connection->mismatchSince = now;
+    bool late = connection->mismatchSince && now - *connection->mismatchSince > settings_.timings.planGrace();
     if (pinned && !late) {
       late = !service || !directory_.leased(connection->service) || service->primary.epoch != connection->epoch ||
-             leavesTooLate(*connection, session->inTransaction) ||
+             drainGraceOver(*connection, session->inTransaction) ||
              (draining() && now - *drainingSince_ > settings_.timings.stopTransactions) ||
-             (session->inTransaction && now - session->usedAt > settings_.idleInTransaction);
+             (session->inTransaction && now - session->lastUsedAt > settings_.idleTransactionTimeout);
     }
-    if (late) loseHold(connection);
+    if (late) revokeConnection(connection);
   }
 }
 
-void ProxyNode::careIdleSessions() {
+void ProxyNode::closeIdleSessions() {
   std::vector<std::shared_ptr<Session>> idle;
   for (const auto& [id, session] : sessions_)
-    if (!session->busy && clock_.now() - session->usedAt > settings_.idleSession) idle.push_back(session);
+    if (!session->busy && clock_.now() - session->lastUsedAt > settings_.idleSessionTimeout) idle.push_back(session);
   for (const auto& session : idle) closeSession(session);
 }
 
-void ProxyNode::careSurplus(const ServiceName& name, const ServiceDirectory::ServiceView& view) {
+void ProxyNode::superviseSurplus(const ServiceName& name, const ServiceDirectory::ServiceView& view) {
   if (pool_.within(name, view)) {
-    followed_[name] = view.mark;
+    followedMarks_[name] = view.mark;
     surplusSince_.erase(name);
-    if (view.plan) withinPlan_[name] = view.plan->mark;
+    if (view.plan) planWithinLimits_[name] = view.plan->mark;
     return;
   }
   auto since = surplusSince_.try_emplace(name, clock_.now()).first->second;
-  bool planned = view.plan && withinPlan_[name] == view.plan->mark;
+  bool planned = view.plan && planWithinLimits_[name] == view.plan->mark;
   if (clock_.now() - since <= (planned ? settings_.timings.sharesFollowed : settings_.timings.planGrace())) return;
-  for (const auto& connection : pool_.surplus(name, view)) loseHold(connection);
+  for (const auto& connection : pool_.surplus(name, view)) revokeConnection(connection);
 }
 
-void ProxyNode::careServices() {
-  pool_.closeAllBesides(directory_.services());
+void ProxyNode::superviseServices() {
+  pool_.closeAllExcept(directory_.services());
   for (const auto& [name, view] : directory_.services()) {
     if (!directory_.leased(name)) {
       pool_.closeAll(name);
       continue;
     }
     pool_.trim(name, view);
-    pool_.closeBusyBefore(name, view.primary.epoch);
-    careSurplus(name, view);
+    pool_.closeBusyOfOlderEpochs(name, view.primary.epoch);
+    superviseSurplus(name, view);
   }
 }
 
 void ProxyNode::drain() {
   if (drainingSince_) return;
   drainingSince_ = clock_.now();
-  journal_.line("draining");
+  journal_.line("draining, " + std::to_string(sessions_.size()) + " sessions open");
 }
 
 bool ProxyNode::stopped() const {
--- a/src/proxy/proxy_placement.cpp
+++ b/src/proxy/proxy_placement.cpp
@@ -2,14 +2,14 @@
 
 #include <algorithm>
 
-// How waiting requests get a database and a connection.
+// ProxyNode: admits requests, and chooses a database and a connection for each waiting one.
 
 namespace tamarindshift {
 
-void ProxyNode::enrolPass(const Record& record) {
+void ProxyNode::admit(const Record& record) {
   const auto& session = record->session;
   auto operation = record->request.operation;
-  session->left = false;
+  session->clientLeft = false;
   if (std::exchange(session->transactionLost, false)) return refuse(record, "transaction lost, nothing was kept", 410);
   if (session->stateLost) return refuse(record, "session state lost, open a new session", 410);
   bool ends = operation == Operation::commit || operation == Operation::rollback;
@@ -20,28 +20,28 @@
   if (session->pinned && session->pinned->kind == record->kind) {
     record->service = session->pinned->service;
     record->branch = session->pinned->branch;
-    return requests_.enrol(record);
+    return requests_.add(record);
   }
   auto view = directory_.kind(record->kind);
   if (!view.kind) return refuse(record, view.refusal, view.refusal == "unknown kind of work" && directory_.anyLease() ? 403 : 503);
   record->service = view.kind->service;
   record->branch = view.kind->branch;
   record->order = view.service->plan->service.branches.at(record->branch).order;
-  if (session->pinned) return requests_.enrol(record);
+  if (session->pinned) return requests_.add(record);
   auto waiting = requests_.waitingCount(record->service, record->branch);
-  if (waiting >= settings_.queue) return refuse(record, "queue is full");
+  if (waiting >= settings_.maxQueued) return refuse(record, "queue is full");
   auto granted = view.service->share.most.find(record->branch);
   auto slots = granted == view.service->share.most.end() ? 0 : granted->second;
-  auto expected = meanTaken_[record->service] * static_cast<double>(waiting) / std::max(1u, slots);
+  auto expected = meanDurationUs_[record->service] * static_cast<double>(waiting) / std::max(1u, slots);
   if (expected > static_cast<double>(settings_.timings.queuePatience.count())) return refuse(record, "queue is past hope");
-  requests_.enrol(record);
+  requests_.add(record);
 }
 
-void ProxyNode::expirePass() {
+void ProxyNode::expireWaiting() {
   for (const auto& record : requests_.waiting()) {
     if (record->session->closing)
       refuse(record, "session closed");
-    else if (clock_.now() >= record->giveUpAt)
+    else if (clock_.now() >= record->queueDeadline)
       refuse(record, "no connection in time");
   }
   if (!draining()) return;
@@ -49,23 +49,23 @@
   if (since < settings_.timings.stop - 300ms) return;
   auto underway = requests_.records();
   for (const auto& [number, record] : underway) {
-    if (record->stage != RequestStage::passed || !record->request.mayWrite())
+    if (record->stage != RequestStage::forwarded || !record->request.mayWrite())
       refuse(record, "this node is leaving");
     else
-      unknown(record, "this node had to leave before the database replied");
+      replyUnknown(record, "this node had to leave before the database replied");
   }
 }
 
-void ProxyNode::placePass() {
-  for (const auto& record : requests_.waiting()) placeOne(record);
+void ProxyNode::placeWaiting() {
+  for (const auto& record : requests_.waiting()) placeRequest(record);
 }
 
-void ProxyNode::placeOne(const Record& record) {
+void ProxyNode::placeRequest(const Record& record) {
   if (record->session->pinned) return placePinned(record);
   auto view = directory_.kind(record->kind);
   if (!view.kind || view.kind->service != record->service) return refuse(record, view.kind ? "the plan changed" : view.refusal);
   if (!directory_.leased(record->service)) return refuse(record, "no current lease");
-  if (record->session->inTransaction) return transactionLost(record);
+  if (record->session->inTransaction) return refuseLostTransaction(record);
   if (record->session->stateful) {
     record->session->stateLost = true;
     return refuse(record, "session state lost, open a new session", 410);
@@ -75,20 +75,20 @@
   if (pins) {
     auto granted = view.service->share.most.find(record->branch);
     auto most = granted == view.service->share.most.end() ? 0 : std::max(1u, granted->second / 2);
-    if (this->pins(record->service, record->branch) >= most) return refuse(record, "too many sessions hold connections");
+    if (this->pinnedCount(record->service, record->branch) >= most) return refuse(record, "too many sessions hold connections");
   }
   std::string refusal;
   auto choice = choose(record, view, refusal);
   if (!choice) return refuse(record, refusal);
   const auto& service = *view.service;
-  workedAt_[record->service] = clock_.now();
-  if (!pool_.mayHold(service, record->service, choice->database, record->branch)) return;
+  lastWorkAt_[record->service] = clock_.now();
+  if (!pool_.belowBranchLimit(service, record->service, choice->database, record->branch)) return;
   if (auto idle = pool_.takeIdle(record->service, choice->database, record->branch)) {
-    requests_.passed(record);
-    scope_.spawn(passOn(record, idle, *choice));
+    requests_.markForwarded(record);
+    scope_.spawn(forward(record, idle, *choice));
   } else if (pool_.mayOpen(service, record->service, choice->database)) {
-    requests_.passed(record);
-    scope_.spawn(passOn(record, nullptr, *choice));
+    requests_.markForwarded(record);
+    scope_.spawn(forward(record, nullptr, *choice));
   }
 }
 
@@ -96,15 +96,15 @@
   const auto& session = record->session;
   auto connection = session->pinned;
   if (connection->service != record->service) return refuse(record, "the session's connection is at another service", 409);
-  bool usable = !connection->doomed && connection->link && connection->link->usable();
-  if (!usable || !mayPass(record, *connection)) {
-    dropPin(session);
-    if (session->inTransaction) return transactionLost(record);
+  bool usable = !connection->mustClose && connection->link && connection->link->usable();
+  if (!usable || !mayForward(record, *connection)) {
+    closePinnedConnection(session);
+    if (session->inTransaction) return refuseLostTransaction(record);
     session->stateLost = true;
     return refuse(record, "session state lost, open a new session", 410);
   }
-  requests_.passed(record);
-  scope_.spawn(passOn(record, connection, Choice{connection->database, {}, connection->epoch}));
+  requests_.markForwarded(record);
+  scope_.spawn(forward(record, connection, Choice{connection->database, {}, connection->epoch}));
 }
 
 std::optional<ProxyNode::Choice> ProxyNode::choose(const Record& record, const ServiceDirectory::KindView& view,
@@ -133,14 +133,14 @@
 std::optional<ProxyNode::Choice> ProxyNode::chooseReplica(const Record& record, const ServiceDirectory::KindView& view) const {
   std::optional<Choice> best;
   std::uint32_t least = 0;
-  auto own = record->session->own.find(record->service);
-  auto needed = own == record->session->own.end() ? Position{} : own->second;
+  auto own = record->session->minPositions.find(record->service);
+  auto needed = own == record->session->minPositions.end() ? Position{} : own->second;
   auto bound = view.kind->stalenessBound();
   for (const auto& sign : directory_.databaseReports(record->service)) {
     DatabaseName name{sign.database};
     auto planned = view.service->databases.find(name);
     if (planned == view.service->databases.end() || name == view.service->primary.primary) continue;
-    if (view.service->drained.contains(name) || record->avoid.contains(name)) continue;
+    if (view.service->drained.contains(name) || record->avoidedDatabases.contains(name)) continue;
     if (!view.selects(name)) continue;
     if (sign.leaving || sign.role != "replica" || Epoch{sign.epoch} != view.service->primary.epoch || sign.age > bound ||
         Position{sign.position} < needed)
@@ -154,17 +154,17 @@
   return best;
 }
 
-bool ProxyNode::mayPass(const Record& record, const PooledConnection& connection) const {
+bool ProxyNode::mayForward(const Record& record, const PooledConnection& connection) const {
   if (!directory_.leased(record->service)) return false;
   const auto* service = directory_.service(record->service);
-  if (!service || connection.epoch != service->primary.epoch || leavesTooLate(connection, record->session->inTransaction)) return false;
-  bool fits = !misfit(record->kind, connection);
+  if (!service || connection.epoch != service->primary.epoch || drainGraceOver(connection, record->session->inTransaction)) return false;
+  bool fits = !mismatch(record->kind, connection);
   bool stillHeld = record->session->pinned.get() == &connection && connection.kind == record->kind &&
-                   (!connection.misfitSince || clock_.now() - *connection.misfitSince <= settings_.timings.planGrace());
+                   (!connection.mismatchSince || clock_.now() - *connection.mismatchSince <= settings_.timings.planGrace());
   return fits || stillHeld;
 }
 
-std::optional<std::string> ProxyNode::misfit(const KindName& kind, const PooledConnection& connection) const {
+std::optional<std::string> ProxyNode::mismatch(const KindName& kind, const PooledConnection& connection) const {
   auto view = directory_.kind(kind);
   if (!view.kind) return view.refusal;
   if (view.kind->service != connection.service) return "the plan changed";
@@ -175,7 +175,7 @@
   return std::nullopt;
 }
 
-bool ProxyNode::leavesTooLate(const PooledConnection& connection, bool inTransaction) const {
+bool ProxyNode::drainGraceOver(const PooledConnection& connection, bool inTransaction) const {
   const auto* service = directory_.service(connection.service);
   auto drained = service->drained.find(connection.database);
   return drained != service->drained.end() && (!inTransaction || clock_.now() - drained->second > settings_.timings.stopTransactions);
--- a/src/proxy/proxy_replies.cpp
+++ b/src/proxy/proxy_replies.cpp
@@ -2,58 +2,58 @@
 
 #include <algorithm>
 
-// How requests are forwarded, and what becomes of them with and without a reply.
+// ProxyNode: forwards requests, and decides what a reply or its loss means for request, session and connection.
 
 namespace tamarindshift {
 
-Task<void> ProxyNode::passOn(Record record, std::shared_ptr<PooledConnection> connection, Choice choice) {
+Task<void> ProxyNode::forward(Record record, std::shared_ptr<PooledConnection> connection, Choice choice) {
   if (!connection) {
-    auto deadline = std::min(record->giveUpAt, clock_.now() + settings_.timings.queuePatience / 2);
+    auto deadline = std::min(record->queueDeadline, clock_.now() + settings_.timings.queuePatience / 2);
     connection = co_await pool_.open(record->service, choice.database, record->branch, choice.address, deadline);
     if (!connection) {
-      noteUnreached(record->service, choice.database);
-      record->avoid.insert(choice.database);
+      recordUnreachable(record->service, choice.database);
+      record->avoidedDatabases.insert(choice.database);
       queue_.put([this, record] {
-        again(record);
+        retry(record);
       });
       co_return;
     }
   }
   connection->epoch = choice.epoch;
   if (record->session->pinned != connection) connection->kind = record->kind;
-  bool given = record->stage == RequestStage::replied || record->session->closing;
-  if (given || !mayPass(record, *connection)) {
+  bool abandoned = record->stage == RequestStage::replied || record->session->closing;
+  if (abandoned || !mayForward(record, *connection)) {
     if (record->session->pinned == connection)
-      dropPin(record->session);
-    else if (given)
+      closePinnedConnection(record->session);
+    else if (abandoned)
       pool_.release(connection);
     else
       pool_.drop(connection);
     queue_.put([this, record] {
-      again(record);
+      retry(record);
     });
     co_return;
   }
   ++record->attempts;
-  workedAt_[record->service] = clock_.now();
-  auto passedAt = clock_.now();
+  lastWorkAt_[record->service] = clock_.now();
+  auto forwardedAt = clock_.now();
   connection->running = true;
   auto outcome = co_await connection->link->run(record->request, clock_.now() + settings_.timings.statementPatience);
   connection->running = false;
-  noteDone(record->service, clock_.now() - passedAt);
-  settle(record, connection, std::move(outcome));
+  recordDuration(record->service, clock_.now() - forwardedAt);
+  handleOutcome(record, connection, std::move(outcome));
   queue_.put([] {});
 }
 
-void ProxyNode::noteDone(const ServiceName& service, Duration taken) {
-  auto& mean = meanTaken_[service];
-  mean = mean * 0.95 + static_cast<double>(taken.count()) * 0.05;
+void ProxyNode::recordDuration(const ServiceName& service, Duration duration) {
+  auto& mean = meanDurationUs_[service];
+  mean = mean * 0.95 + static_cast<double>(duration.count()) * 0.05;
 }
 
-void ProxyNode::again(const Record& record) {
+void ProxyNode::retry(const Record& record) {
   if (record->stage == RequestStage::replied) return;
-  if (record->attempts >= settings_.mostAttempts) return refuse(record, "no database did it in three attempts");
-  requests_.waits(record);
+  if (record->attempts >= settings_.maxAttempts) return refuse(record, "no database did it in three attempts");
+  requests_.markWaiting(record);
 }
 
 void ProxyNode::refuse(const Record& record, const std::string& reason, int status) {
@@ -67,7 +67,7 @@
   requests_.reply(record, std::move(reply));
 }
 
-void ProxyNode::unknown(const Record& record, const std::string& reason) {
+void ProxyNode::replyUnknown(const Record& record, const std::string& reason) {
   journal_.count("requests.unknown");
   RequestReply reply;
   reply.outcome = RequestOutcome::unknown;
@@ -76,53 +76,53 @@
   requests_.reply(record, std::move(reply));
 }
 
-void ProxyNode::transactionLost(const Record& record) {
+void ProxyNode::refuseLostTransaction(const Record& record) {
   record->session->inTransaction = false;
   if (record->session->stateful) record->session->stateLost = true;
   refuse(record, "transaction lost, nothing was kept", 410);
 }
 
-void ProxyNode::settle(const Record& record, const std::shared_ptr<PooledConnection>& connection, DatabaseOutcome outcome) {
-  if (outcome.fate == PassFate::replied) unreached_[record->service].erase(connection->database);
+void ProxyNode::handleOutcome(const Record& record, const std::shared_ptr<PooledConnection>& connection, DatabaseOutcome outcome) {
+  if (outcome.fate == PassFate::replied) unreachable_[record->service].erase(connection->database);
   if (outcome.fate == PassFate::replied)
-    settleReplied(record, connection, std::move(outcome.reply));
+    handleReply(record, connection, std::move(outcome.reply));
   else
-    settleLost(record, connection, outcome.fate == PassFate::lost);
+    handleLostReply(record, connection, outcome.fate == PassFate::lost);
 }
 
-void ProxyNode::settleLost(const Record& record, const std::shared_ptr<PooledConnection>& connection, bool sent) {
+void ProxyNode::handleLostReply(const Record& record, const std::shared_ptr<PooledConnection>& connection, bool sent) {
   journal_.count(sent ? "passes.lost" : "passes.unsent");
-  noteUnreached(record->service, connection->database);
+  recordUnreachable(record->service, connection->database);
   const auto& session = record->session;
   bool pinned = session->pinned == connection;
   if (pinned) session->pinned.reset();
   pool_.drop(connection);
-  bool mayBeKept = sent && record->request.mayWrite() && record->request.operation != Operation::rollback;
+  bool mayBeCommitted = sent && record->request.mayWrite() && record->request.operation != Operation::rollback;
   if (session->inTransaction) {
     if (sent && record->request.operation == Operation::commit) {
       session->inTransaction = false;
       if (session->stateful) session->stateLost = true;
-      return unknown(record, "the reply to the commit was lost");
+      return replyUnknown(record, "the reply to the commit was lost");
     }
-    return transactionLost(record);
+    return refuseLostTransaction(record);
   }
   if (pinned) session->stateLost = true;
-  if (mayBeKept && record->request.operation != Operation::begin) return unknown(record, "the reply was lost");
+  if (mayBeCommitted && record->request.operation != Operation::begin) return replyUnknown(record, "the reply was lost");
   if (pinned) return refuse(record, "session state lost, open a new session", 410);
-  record->avoid.insert(connection->database);
-  again(record);
+  record->avoidedDatabases.insert(connection->database);
+  retry(record);
 }
 
-void ProxyNode::settleReplied(const Record& record, const std::shared_ptr<PooledConnection>& connection, DatabaseReply reply) {
+void ProxyNode::handleReply(const Record& record, const std::shared_ptr<PooledConnection>& connection, DatabaseReply reply) {
   const auto& session = record->session;
   auto view = directory_.kind(record->kind);
   auto operation = record->request.operation;
   const auto* service = directory_.service(record->service);
   bool atPrimary = service && service->primary.primary == connection->database;
   bool current = service && directory_.leased(record->service) && service->primary.epoch == connection->epoch && (atPrimary || view.kind);
-  if (current && atPrimary) current = reply.standing.role == "primary" && reply.standing.epoch == connection->epoch;
+  if (current && atPrimary) current = reply.status.role == "primary" && reply.status.epoch == connection->epoch;
   bool inTransaction = session->inTransaction && session->pinned == connection;
-  bool keptNow =
+  bool committed =
       reply.done && record->request.mayWrite() &&
       (operation == Operation::commit || (!inTransaction && (operation == Operation::statement || operation == Operation::execute)));
 
@@ -130,68 +130,68 @@
     journal_.count("passes.replied_late");
     if (session->pinned == connection) session->pinned.reset();
     pool_.drop(connection);
-    if (keptNow) {
+    if (committed) {
       session->inTransaction = false;
       if (session->stateful) session->stateLost = true;
-      return unknown(record, "the reply came after the lease or the epoch it was passed under");
+      return replyUnknown(record, "the reply came after the lease or the epoch it was passed under");
     }
-    if (inTransaction) return transactionLost(record);
+    if (inTransaction) return refuseLostTransaction(record);
     if (session->stateful) {
       session->stateLost = true;
       return refuse(record, "session state lost, open a new session", 410);
     }
     if (!record->request.reads) return refuse(record, "the database is not the primary");
-    record->avoid.insert(connection->database);
-    return again(record);
+    record->avoidedDatabases.insert(connection->database);
+    return retry(record);
   }
-  if (keptNow && !reply.replicated) {
-    auto& position = session->own[record->service];
+  if (committed && !reply.replicated) {
+    auto& position = session->minPositions[record->service];
     position = std::max(position, reply.commitPosition);
     if (operation == Operation::commit) session->inTransaction = false;
-    retire(record, connection);
-    return unknown(record, "kept by the primary alone");
+    pinOrRelease(record, connection);
+    return replyUnknown(record, "kept by the primary alone");
   }
   if (record->request.reads && !atPrimary) {
-    auto own = session->own.find(record->service);
-    bool behind = reply.standing.epoch != connection->epoch || (own != session->own.end() && reply.standing.position < own->second);
-    bool stale = reply.standing.contactAge > view.kind->stalenessBound();
+    auto own = session->minPositions.find(record->service);
+    bool behind = reply.status.epoch != connection->epoch || (own != session->minPositions.end() && reply.status.position < own->second);
+    bool stale = reply.status.contactAge > view.kind->stalenessBound();
     if (behind || stale) {
       journal_.count("reads.too_stale");
       if (session->pinned != connection) {
         pool_.release(connection);
-        record->avoid.insert(connection->database);
-        return again(record);
+        record->avoidedDatabases.insert(connection->database);
+        return retry(record);
       }
       return refuse(record, "the replica is too far behind");
     }
   }
-  if (keptNow) {
-    auto& own = session->own[record->service];
+  if (committed) {
+    auto& own = session->minPositions[record->service];
     own = std::max(own, reply.commitPosition);
     auto& acknowledged = acknowledged_[record->service];
-    acknowledged = std::max(acknowledged, Place{reply.standing.epoch, reply.commitPosition});
+    acknowledged = std::max(acknowledged, Place{reply.status.epoch, reply.commitPosition});
   }
   if (operation == Operation::begin && reply.done) session->inTransaction = true;
   if (operation == Operation::commit || operation == Operation::rollback) session->inTransaction = false;
   if (reply.done && (operation == Operation::prepare || operation == Operation::set)) session->stateful = true;
-  retire(record, connection);
+  pinOrRelease(record, connection);
   RequestReply answer;
   answer.outcome = reply.done ? RequestOutcome::done : RequestOutcome::failed;
   answer.status = reply.done ? 200 : 422;
   answer.reason = reply.reason;
   answer.result = std::move(reply.result);
   answer.database = connection->database;
-  answer.position = keptNow ? reply.commitPosition : reply.standing.position;
+  answer.position = committed ? reply.commitPosition : reply.status.position;
   journal_.count(reply.done ? "requests.done" : "requests.failed");
   requests_.reply(record, std::move(answer));
 }
 
-void ProxyNode::retire(const Record& record, const std::shared_ptr<PooledConnection>& connection) {
+void ProxyNode::pinOrRelease(const Record& record, const std::shared_ptr<PooledConnection>& connection) {
   const auto& session = record->session;
   bool holds = session->inTransaction || session->stateful;
   bool abandoned =
-      session->closing || session->left || session->transactionLost || session->stateLost || record->stage == RequestStage::replied;
-  if (holds && !abandoned && !connection->doomed) {
+      session->closing || session->clientLeft || session->transactionLost || session->stateLost || record->stage == RequestStage::replied;
+  if (holds && !abandoned && !connection->mustClose) {
     session->pinned = connection;
     connection->pinnedBy = session;
     return;
@@ -207,21 +207,21 @@
   }
 }
 
-std::uint32_t ProxyNode::pins(const ServiceName& service, const BranchName& branch) const {
+std::uint32_t ProxyNode::pinnedCount(const ServiceName& service, const BranchName& branch) const {
   std::uint32_t amount = 0;
   for (const auto& [id, session] : sessions_)
     amount += session->stateful && session->pinned && session->pinned->service == service && session->pinned->branch == branch;
   return amount;
 }
 
-void ProxyNode::loseHold(const std::shared_ptr<PooledConnection>& connection) {
+void ProxyNode::revokeConnection(const std::shared_ptr<PooledConnection>& connection) {
   auto session = connection->pinnedBy.lock();
   if (connection->running || !session || session->pinned != connection) return pool_.drop(connection);
   journal_.count("sessions.pins_closed");
   if (session->inTransaction) session->transactionLost = true;
   if (session->stateful) session->stateLost = true;
   session->inTransaction = false;
-  dropPin(session);
+  closePinnedConnection(session);
 }
 
 }  // namespace tamarindshift
--- a/src/proxy/service_directory.cpp
+++ b/src/proxy/service_directory.cpp
@@ -23,15 +23,15 @@
 }
 
 bool ServiceDirectory::registered(const ServiceName& name) const {
-  return nodeKnown_ && node_news_.boot == boot_ && feed_.position(name.get()) >= node_news_.enrolledAt;
+  return nodeRegistered_ && nodeState_.boot == boot_ && feed_.position(name.get()) >= nodeState_.enrolledAt;
 }
 
 std::optional<std::string> ServiceDirectory::missingShareReason(const ServiceName& name) const {
   const auto* view = service(name);
-  if (!view) return "no news of the service yet";
-  if (!nodeKnown_) return "not registered";
-  if (node_news_.boot != boot_) return "registered under another boot";
-  if (feed_.position(name.get()) < node_news_.enrolledAt) return "news of the service are older than the registration";
+  if (!view) return "no updates of the service received yet";
+  if (!nodeRegistered_) return "not registered";
+  if (nodeState_.boot != boot_) return "registered under another boot";
+  if (feed_.position(name.get()) < nodeState_.enrolledAt) return "updates of the service are older than the registration of this node";
   bool granted = std::any_of(view->granted.most.begin(), view->granted.most.end(), [](const auto& each) {
     return each.second > 0;
   });
@@ -46,9 +46,9 @@
   if (entry->planChangeMark != fleetPlanChangeMark_) fleetPlan_ = fleetPlanIn(entry->table);
   fleetPlanChangeMark_ = entry->planChangeMark;
   auto own = entry->table.find(nodePrefix + node_.get());
-  nodeKnown_ = own != entry->table.end();
-  if (nodeKnown_)
-    if (auto news = unpacked<NodeNews>(own->second)) node_news_ = *news;
+  nodeRegistered_ = own != entry->table.end();
+  if (nodeRegistered_)
+    if (auto news = unpacked<NodeNews>(own->second)) nodeState_ = *news;
 }
 
 void ServiceDirectory::readService(const ServiceName& name, const UpdateStore::TopicState& entry) {
@@ -98,7 +98,7 @@
   const auto* own = service(found->second);
   if (!own || !own->plan || !own->plan->kinds.contains(name)) return {nullptr, nullptr, "no news of the service yet"};
   const auto& kind = own->plan->kinds.at(name);
-  if (!std::includes(node_news_.labels.begin(), node_news_.labels.end(), kind.machines.begin(), kind.machines.end()))
+  if (!std::includes(nodeState_.labels.begin(), nodeState_.labels.end(), kind.machines.begin(), kind.machines.end()))
     return {nullptr, nullptr, "this machine is not selected for the kind"};
   return {&kind, own, {}};
 }
@@ -136,7 +136,7 @@
 }
 
 bool ServiceDirectory::draining() const {
-  return nodeKnown_ && node_news_.draining;
+  return nodeRegistered_ && nodeState_.draining;
 }
 
 std::vector<DatabaseReport> ServiceDirectory::databaseReports(const ServiceName& name) const {
--- a/src/proxy/service_directory.hpp
+++ b/src/proxy/service_directory.hpp
@@ -1,3 +1,4 @@
+// The services and routes that a node knows from updates, and under which leases it may act on them.
 #pragma once
 
 #include "control/ration.hpp"
@@ -6,24 +7,34 @@
 
 namespace tamarindshift {
 
+/// What a node knows of the plan, the primaries, the databases and its own shares.
+///
+/// `refresh` reads what changed in the feed since the last call; everything else answers from what it read. References and pointers are
+/// valid until the next `refresh`.
 class ServiceDirectory {
  public:
   struct ServiceView {
+    /// The version of the service's topic.
     std::uint64_t mark = 0;
-    // the mark of the news that the plan was read from
+    /// The version of the plan entries from which `plan` was read.
     std::uint64_t planChangeMark = 0;
     std::optional<ServiceNews> plan;
     PrimaryNews primary;
     std::map<DatabaseName, DatabaseNews> databases;
+    /// Drained databases, with the time at which this node learned of it.
     std::map<DatabaseName, Instant> drained;
     std::map<DatabaseName, Ration> rations;
+    /// The share that the updates grant to this node's address.
     ShareNews granted;
+    /// `granted` if this process is the one that is registered, or else empty.
     ShareNews share;
   };
+  /// A route and its service; if it can't be used, `kind` and `service` are null and `refusal` says why.
   struct KindView {
     const PlanKind* kind = nullptr;
     const ServiceView* service = nullptr;
     std::string refusal;
+    /// Whether the route may use the database.
     bool selects(const DatabaseName& database) const;
   };
 
@@ -33,25 +44,31 @@
   KindView kind(const KindName& name) const;
   const ServiceView* service(const ServiceName& name) const;
   const std::map<ServiceName, ServiceView>& services() const { return services_; }
-  // why this node holds no share of a service, as far as the news tell
+  /// Why this node has no share of a service, as far as its updates show; no value if it has one.
   std::optional<std::string> missingShareReason(const ServiceName& name) const;
+  /// Whether there is a lease for both the service and the fleet's topic.
   bool leased(const ServiceName& name) const;
+  /// The earlier end of the leases of the service and of the fleet's topic.
   std::optional<Instant> leaseUntil(const ServiceName& name) const;
   std::vector<DatabaseReport> databaseReports(const ServiceName& name) const;
   PlanMark planMark() const { return fleetPlan_.mark; }
   const std::map<std::string, std::uint64_t>& limits() const { return fleetPlan_.limits; }
+  /// Whether the control plane has this node drained.
   bool draining() const;
-  // whether every route of the newest plan that is known here is known here too, under a lease
+  /// Whether every route of the newest plan known here has arrived in its service's topic, under a lease.
   bool routesKnown() const;
-  // whether there is news of every service, under a lease
+  /// Whether the plan of every service has arrived, under a lease.
   bool servicesKnown() const;
+  /// Whether there is a lease for the fleet's topic.
   bool anyLease() const { return feed_.leaseUntil(fleetTopic).has_value(); }
+  /// Reads the changes since the last call.
   void refresh();
   Gate& changed() { return feed_.changed(); }
   Instant coreRepliedAt() const { return feed_.coreRepliedAt(); }
 
  private:
   void readFleet();
+  /// Whether this process, and not an earlier one at the same address, is registered, and the service's updates are as new as that.
   bool registered(const ServiceName& name) const;
   void readService(const ServiceName& name, const UpdateStore::TopicState& entry);
 
@@ -62,8 +79,8 @@
   std::uint64_t fleetMark_ = 0;
   std::uint64_t fleetPlanChangeMark_ = 0;
   FleetPlanNews fleetPlan_;
-  NodeNews node_news_;
-  bool nodeKnown_ = false;
+  NodeNews nodeState_;
+  bool nodeRegistered_ = false;
   std::map<ServiceName, ServiceView> services_;
 };
 
--- a/src/scale/pieces.cpp
+++ b/src/scale/pieces.cpp
@@ -134,7 +134,7 @@
     FollowReply reply;
     for (const auto& [topic, mark] : have) {
       auto& own = reply.topics[topic];
-      board_.fill(topic, mark, own);
+      board_.fillReply(topic, mark, own);
       own.lease = 1600ms;
       own.position = position_;
       if (signs && topic != fleetTopic)
@@ -146,7 +146,7 @@
 
   std::map<Topic, std::uint64_t> marks() const {
     std::map<Topic, std::uint64_t> marks;
-    for (const auto& [topic, entry] : board_.entries()) marks[topic] = entry->mark;
+    for (const auto& [topic, entry] : board_.topics()) marks[topic] = entry->mark;
     return marks;
   }
 
--- a/src/updates/agent_node.cpp
+++ b/src/updates/agent_node.cpp
@@ -16,16 +16,16 @@
       settings_(std::move(settings)),
       replicas_(settings_.seeds),
       desk_(clock, link, boot),
-      news_(
+      follower_(
           clock, desk_, journal,
           [this](const Topic& topic) {
             return sources(topic);
           },
           FollowTimings::of(settings_.timings, settings_.databaseReports),
           [this] {
-            return isHome() ? std::nullopt : std::optional{settings_.address};
+            return isRelay() ? std::nullopt : std::optional{settings_.address};
           }),
-      newsDesk_(clock, desk_, news_.updates(), news_, settings_.timings.newsWait) {
+      updateServer_(clock, desk_, follower_.updates(), follower_, settings_.timings.newsWait) {
   desk_.serve("report", [this](Address, std::string body) -> Task<std::optional<std::string>> {
     if (auto report = unpacked<NodeReport>(body)) this->report(std::move(*report));
     co_return std::nullopt;
@@ -35,7 +35,7 @@
     if (replicas_.contains(from) && reports_.last().boot != 0) desk_.tell(from, "report", reports_.nextMessage(from, clock_.now()));
     co_return std::nullopt;
   });
-  scope_.spawn(peers());
+  scope_.spawn(refreshReplicas());
 }
 
 void AgentNode::change(AgentSettings settings) {
@@ -47,35 +47,35 @@
 void AgentNode::drain() {
   if (drainingSince_) return;
   drainingSince_ = clock_.now();
-  journal_.line("leaves after its proxy");
+  journal_.line("agent draining: stops after the last report of its proxy");
 }
 
 bool AgentNode::stopped() const {
   if (!drainingSince_) return false;
   auto now = clock_.now();
-  return now - reportedAt_ > settings_.timings.report + 2 * settings_.timings.reportPause ||
+  return now - lastReportAt_ > settings_.timings.report + 2 * settings_.timings.reportPause ||
          now - *drainingSince_ > settings_.timings.stop + settings_.timings.report;
 }
 
-const ZoneRelays& AgentNode::homes() const {
+const ZoneRelays& AgentNode::relays() const {
   const auto* fleet = updates().find(fleetTopic);
   auto mark = fleet ? fleet->mark : 0;
-  if (mark == homesAt_) return homes_;
-  homesAt_ = mark;
+  if (mark == relaysMark_) return relays_;
+  relaysMark_ = mark;
   std::vector<Address> agents;
   for (auto entry = fleet->table.lower_bound(nodePrefix); entry != fleet->table.end() && entry->first.starts_with(nodePrefix); ++entry) {
-    auto news = unpacked<NodeNews>(entry->second);
-    if (news && news->zone == settings_.zone && !news->draining) agents.push_back(Address{entry->first.substr(nodePrefix.size())});
+    auto node = unpacked<NodeNews>(entry->second);
+    if (node && node->zone == settings_.zone && !node->draining) agents.push_back(Address{entry->first.substr(nodePrefix.size())});
   }
-  homes_ = ZoneRelays{std::move(agents)};
-  return homes_;
+  relays_ = ZoneRelays{std::move(agents)};
+  return relays_;
 }
 
 std::vector<Address> AgentNode::sources(const Topic& topic) const {
-  // whole news come from the replicas: the link of a home has no room for them
-  auto own = isHome() ? std::nullopt : std::optional{settings_.address};
-  bool whole = updates().completeMark(topic, own) == 0;
-  auto sources = whole ? std::vector<Address>{} : homes().relaysFor(topic, settings_.address);
+  // snapshots come from the replicas: the link of a relay has no capacity for them
+  auto own = isRelay() ? std::nullopt : std::optional{settings_.address};
+  bool needsSnapshot = updates().completeMark(topic, own) == 0;
+  auto sources = needsSnapshot ? std::vector<Address>{} : relays().relaysFor(topic, settings_.address);
   std::vector<Address> replicas(replicas_.begin(), replicas_.end());
   if (!replicas.empty())
     std::rotate(replicas.begin(),
@@ -85,7 +85,7 @@
   return sources;
 }
 
-Task<void> AgentNode::peers() {
+Task<void> AgentNode::refreshReplicas() {
   for (std::size_t attempt = 0;; ++attempt) {
     std::vector<Address> replicas(replicas_.begin(), replicas_.end());
     auto bytes = co_await desk_.ask(replicas[attempt % replicas.size()], "peers", {}, clock_.now() + settings_.timings.newsPatience);
@@ -98,7 +98,7 @@
 }
 
 void AgentNode::report(NodeReport report) {
-  reportedAt_ = clock_.now();
+  lastReportAt_ = clock_.now();
   report.node = settings_.address;
   report.zone = settings_.zone;
   if (!reports_.record(std::move(report))) return;
@@ -143,7 +143,7 @@
   nlohmann::json json;
   json["address"] = settings_.address.get();
   json["zone"] = settings_.zone.get();
-  for (const auto& [topic, followed] : news_.topics()) {
+  for (const auto& [topic, followed] : follower_.topics()) {
     auto& own = json["topics"][topic];
     own = {{"mark", updates().mark(topic)}, {"source", followed.source.get()}};
     if (followed.leaseUntil && *followed.leaseUntil > clock_.now())
--- a/src/updates/agent_settings.hpp
+++ b/src/updates/agent_settings.hpp
@@ -1,3 +1,4 @@
+// Settings of an agent.
 #pragma once
 
 #include <set>
@@ -8,10 +9,12 @@
 namespace tamarindshift {
 
 struct AgentSettings {
+  /// The address that replicas and other agents reach this agent at.
   Address address;
   Zone zone;
+  /// Replicas to start from; the agent learns the others from them.
   std::set<Address> seeds;
-  // whether news come with what heartbeats say of databases
+  /// Whether to request what databases report of themselves in heartbeats.
   bool databaseReports = true;
   Timings timings;
 };
--- a/src/updates/update_feed.hpp
+++ b/src/updates/update_feed.hpp
@@ -1,3 +1,4 @@
+// The updates that a node receives, as its router and pooler read them.
 #pragma once
 
 #include "base/gate.hpp"
@@ -6,12 +7,13 @@
 
 namespace tamarindshift {
 
+/// Topics as received from a source, with their leases.
 class UpdateFeed : public UpdateSource {
  public:
   virtual const UpdateStore& updates() const = 0;
-  // opened when news or a lease came that were not there before
+  /// Opens when an update arrives, or a lease for a topic that had none.
   virtual Gate& changed() = 0;
-  // when a replica last answered, with a lease or without
+  /// Last reply of a replica itself, with a lease or without one.
   virtual Instant coreRepliedAt() const { return {}; }
 };
 
--- a/src/updates/update_follower.cpp
+++ b/src/updates/update_follower.cpp
@@ -7,16 +7,16 @@
 
 namespace tamarindshift {
 
-UpdateFollower::UpdateFollower(Clock& clock, Desk& desk, Journal& journal, Sources sources, FollowTimings timings, Own own)
+UpdateFollower::UpdateFollower(Clock& clock, Desk& desk, Journal& journal, Sources sources, FollowTimings timings, OnlyNode onlyNode)
     : clock_(clock),
       desk_(desk),
       journal_(journal),
       sources_(std::move(sources)),
-      own_(std::move(own)),
+      onlyNode_(std::move(onlyNode)),
       timings_(timings),
-      lastAsk_(static_cast<std::uint64_t>(clock.now().time_since_epoch().count())) {
+      lastRequestNumber_(static_cast<std::uint64_t>(clock.now().time_since_epoch().count())) {
   topics_[fleetTopic];
-  scope_.spawn(keepTopics());
+  scope_.spawn(superviseTopics());
 }
 
 std::optional<Instant> UpdateFollower::leaseUntil(const Topic& topic) {
@@ -28,13 +28,13 @@
 std::vector<DatabaseReport> UpdateFollower::databaseReports(const Topic& topic) {
   auto found = topics_.find(topic);
   if (found == topics_.end()) return {};
-  found->second.signsReadAt = clock_.now();
-  auto aged = found->second.signs;
-  for (auto& sign : aged) {
-    sign.age += clock_.now() - found->second.signsAt;
-    sign.contactAge += clock_.now() - found->second.signsAt;
+  found->second.reportsReadAt = clock_.now();
+  auto reports = found->second.databaseReports;
+  for (auto& report : reports) {
+    report.age += clock_.now() - found->second.reportsAt;
+    report.contactAge += clock_.now() - found->second.reportsAt;
   }
-  return aged;
+  return reports;
 }
 
 std::uint64_t UpdateFollower::position(const Topic& topic) {
@@ -42,17 +42,16 @@
   return found == topics_.end() ? 0 : found->second.position;
 }
 
-// for longer than one silent source and a held ask to the next one cost
+// The bound covers one source that does not reply and then a held request at the next source.
 bool UpdateFollower::sourceResponsive(const Topic& topic) {
   auto found = topics_.find(topic);
-  return found != topics_.end() && clock_.now() - found->second.takenAt < 2 * timings_.patience;
+  return found != topics_.end() && clock_.now() - found->second.lastReplyAt < 2 * timings_.silenceTimeout;
 }
 
-// a topic for each service of the plan; the plan is read again only when it is another one
-void UpdateFollower::followPlan() {
-  const auto* fleet = board_.find(fleetTopic);
-  if (!fleet || fleet->planChangeMark == topicsOf_) return;
-  topicsOf_ = fleet->planChangeMark;
+void UpdateFollower::updateTopics() {
+  const auto* fleet = store_.find(fleetTopic);
+  if (!fleet || fleet->planChangeMark == topicsPlanMark_) return;
+  topicsPlanMark_ = fleet->planChangeMark;
   std::set<Topic> wanted{fleetTopic};
   for (const auto& [kind, service] : fleetPlanIn(fleet->table).kinds) wanted.insert(service.get());
   std::erase_if(topics_, [&](const auto& each) {
@@ -61,189 +60,190 @@
   for (const auto& topic : wanted) topics_[topic];
 }
 
-Task<void> UpdateFollower::keepTopics() {
+Task<void> UpdateFollower::superviseTopics() {
   for (;;) {
-    followPlan();
-    startAsks();
-    co_await board_.changed().wait(clock_, clock_.now() + 500ms);
+    updateTopics();
+    startRequestLoops();
+    co_await store_.changed().wait(clock_, clock_.now() + 500ms);
   }
 }
 
-const std::vector<Address>& UpdateFollower::sourcesOf(const Topic& topic, Followed& followed) {
-  auto fleetMark = board_.mark(fleetTopic);
-  if (followed.sources.empty() || followed.sourcesOf != fleetMark || clock_.now() - followed.sourcesAt > timings_.sourcesKept) {
+const std::vector<Address>& UpdateFollower::sourcesOf(const Topic& topic, FollowedTopic& followed) {
+  auto fleetMark = store_.mark(fleetTopic);
+  if (followed.sources.empty() || followed.sourcesMark != fleetMark || clock_.now() - followed.sourcesReadAt > timings_.sourcesMaxAge) {
     followed.sources = sources_(topic);
-    followed.sourcesOf = fleetMark;
-    followed.sourcesAt = clock_.now();
+    followed.sourcesMark = fleetMark;
+    followed.sourcesReadAt = clock_.now();
   }
   return followed.sources;
 }
 
-std::optional<Address> UpdateFollower::currentSource(const Topic& topic, Followed& followed) {
+std::optional<Address> UpdateFollower::currentSource(const Topic& topic, FollowedTopic& followed) {
   const auto& sources = sourcesOf(topic, followed);
   if (sources.empty()) return std::nullopt;
-  bool over = clock_.now() - followed.firstTriedAt > timings_.returnToFirst;
-  if (followed.instead && (over || std::find(sources.begin(), sources.end(), *followed.instead) == sources.end())) {
-    followed.instead.reset();
-    followed.failed.clear();
+  bool fallbackExpired = clock_.now() - followed.firstTriedAt > timings_.returnToFirst;
+  if (followed.fallback && (fallbackExpired || std::find(sources.begin(), sources.end(), *followed.fallback) == sources.end())) {
+    followed.fallback.reset();
+    followed.failedSources.clear();
   }
-  if (followed.instead) return followed.instead;
+  if (followed.fallback) return followed.fallback;
   followed.firstTriedAt = clock_.now();
   return sources.front();
 }
 
-UpdateFollower::Standing UpdateFollower::standing(const Address& source) const {
-  auto found = standings_.find(source);
-  return found == standings_.end() ? Standing{} : found->second;
+UpdateFollower::SourceState UpdateFollower::sourceState(const Address& source) const {
+  auto found = sourceStates_.find(source);
+  return found == sourceStates_.end() ? SourceState{} : found->second;
 }
 
 bool UpdateFollower::silent(const Address& source) const {
-  auto since = standing(source).silentAt;
+  auto since = sourceState(source).silentAt;
   return since && clock_.now() - *since < timings_.returnToFirst;
 }
 
-// of the sources that were not tried yet the one that answered last, a silent one at the end
-Address UpdateFollower::nextSource(const std::vector<Address>& sources, const std::set<Address>& failed) const {
+Address UpdateFollower::nextSource(const std::vector<Address>& sources, const std::set<Address>& failedSources) const {
   auto rank = [&](const Address& source) {
-    return std::tuple(failed.contains(source), silent(source), -standing(source).answeredAt.time_since_epoch().count());
+    return std::tuple(failedSources.contains(source), silent(source), -sourceState(source).answeredAt.time_since_epoch().count());
   };
   return *std::min_element(sources.begin(), sources.end(), [&](const auto& left, const auto& right) {
     return rank(left) < rank(right);
   });
 }
 
-bool UpdateFollower::superseded(const Address& source, std::uint64_t turn) const {
-  auto found = turns_.find(source);
-  return found == turns_.end() || found->second != turn;
+bool UpdateFollower::superseded(const Address& source, std::uint64_t loopId) const {
+  auto found = loopIds_.find(source);
+  return found == loopIds_.end() || found->second != loopId;
 }
 
-void UpdateFollower::startAsks() {
+void UpdateFollower::startRequestLoops() {
   std::set<Address> needed;
   for (auto& [topic, followed] : topics_)
-    if (auto source = currentSource(topic, followed); source && followed.asking != *source) needed.insert(*source);
+    if (auto source = currentSource(topic, followed); source && followed.requestedFrom != *source) needed.insert(*source);
   for (const auto& source : needed) {
-    turns_[source] = ++lastTurn_;
-    scope_.spawn(follow(source, lastTurn_));
+    loopIds_[source] = ++lastLoopId_;
+    scope_.spawn(requestLoop(source, lastLoopId_));
   }
 }
 
-UpdateFollower::Marks UpdateFollower::marksFor(const Address& source, const std::optional<Address>& own) {
-  Marks have;
+UpdateFollower::Marks UpdateFollower::marksFor(const Address& source, const std::optional<Address>& onlyNode) {
+  Marks marks;
   for (auto& [topic, followed] : topics_)
     if (currentSource(topic, followed) == source) {
-      followed.asking = source;
-      have[topic] = board_.completeMark(topic, own);
+      followed.requestedFrom = source;
+      marks[topic] = store_.completeMark(topic, onlyNode);
     }
-  return have;
+  return marks;
 }
 
-FollowRequest UpdateFollower::makeAsk(const Address& source, const Marks& have, std::optional<Address> own) {
-  FollowRequest ask;
-  ask.onlyNode = std::move(own);
-  ask.databaseReports = timings_.signs;
-  ask.number = ++lastAsk_;
+FollowRequest UpdateFollower::makeRequest(const Address& source, const Marks& marks, std::optional<Address> onlyNode) {
+  FollowRequest request;
+  request.onlyNode = std::move(onlyNode);
+  request.databaseReports = timings_.databaseReports;
+  request.number = ++lastRequestNumber_;
   auto shortest = Instant::max();
-  for (const auto& [topic, mark] : have) {
+  for (const auto& [topic, mark] : marks) {
     const auto& followed = topics_.at(topic);
     shortest = std::min(shortest, leaseUntil(topic).value_or(clock_.now()));
-    if (ask.databaseReports && followed.signsReadAt && clock_.now() - *followed.signsReadAt < timings_.signsKept)
-      ask.reportTopics.insert(topic);
+    if (request.databaseReports && followed.reportsReadAt && clock_.now() - *followed.reportsReadAt < timings_.reportsWantedFor)
+      request.reportTopics.insert(topic);
   }
-  ask.lease = shortest - clock_.now();
-  auto told = told_.find(source);
+  request.lease = shortest - clock_.now();
+  auto remembered = rememberedRequests_.find(source);
   auto sameTopics = [&] {
-    return std::equal(have.begin(), have.end(), told->second.have.begin(), told->second.have.end(),
+    return std::equal(marks.begin(), marks.end(), remembered->second.marks.begin(), remembered->second.marks.end(),
                       [](const auto& left, const auto& right) {
                         return left.first == right.first;
                       });
   };
-  if (told == told_.end() || told->second.own != ask.onlyNode || !sameTopics()) {
-    ask.knownMarks = have;
-    return ask;
+  if (remembered == rememberedRequests_.end() || remembered->second.onlyNode != request.onlyNode || !sameTopics()) {
+    request.knownMarks = marks;
+    return request;
   }
-  ask.base = told->second.number;
-  std::set_difference(have.begin(), have.end(), told->second.have.begin(), told->second.have.end(),
-                      std::inserter(ask.knownMarks, ask.knownMarks.end()));
-  return ask;
-}
-
-Task<void> UpdateFollower::follow(Address source, std::uint64_t turn) {
-  while (!superseded(source, turn)) {
-    auto own = own_();
-    auto have = marksFor(source, own);
-    if (have.empty()) {
-      turns_.erase(source);
+  request.base = remembered->second.number;
+  std::set_difference(marks.begin(), marks.end(), remembered->second.marks.begin(), remembered->second.marks.end(),
+                      std::inserter(request.knownMarks, request.knownMarks.end()));
+  return request;
+}
+
+Task<void> UpdateFollower::requestLoop(Address source, std::uint64_t loopId) {
+  while (!superseded(source, loopId)) {
+    auto onlyNode = onlyNode_();
+    auto marks = marksFor(source, onlyNode);
+    if (marks.empty()) {
+      loopIds_.erase(source);
       co_return;
     }
-    auto ask = makeAsk(source, have, std::move(own));
-    auto asked = clock_.now();
+    auto request = makeRequest(source, marks, std::move(onlyNode));
+    auto requestedAt = clock_.now();
     journal_.count("news.asks");
-    auto bytes = co_await desk_.askPatiently(source, "follow", packed(ask), timings_.patience, asked + timings_.longestReply);
+    auto bytes =
+        co_await desk_.askPatiently(source, "follow", packed(request), timings_.silenceTimeout, requestedAt + timings_.maxReplyTime);
     auto reply = bytes ? unpacked<FollowReply>(*bytes) : std::nullopt;
     if (reply && reply->fromReplica) coreRepliedAt_ = clock_.now();
-    told_.erase(source);
-    if (reply && reply->number == 0 && ask.base != 0) continue;
-    bool remembers = reply && reply->number == ask.number;
+    rememberedRequests_.erase(source);
+    if (reply && reply->number == 0 && request.base != 0) continue;
+    bool remembers = reply && reply->number == request.number;
     bool failed = false;
-    standings_[source].silentAt = reply ? std::nullopt : std::optional{clock_.now()};
-    for (const auto& [topic, mark] : have) {
+    sourceStates_[source].silentAt = reply ? std::nullopt : std::optional{clock_.now()};
+    for (const auto& [topic, mark] : marks) {
       if (!topics_.contains(topic)) continue;
       if (reply) {
-        auto at = asked + std::min(reply->heldFor, clock_.now() - asked);
-        auto own = reply->topics.find(topic);
-        auto before = board_.mark(topic);
-        if (own != reply->topics.end() ? board_.apply(topic, own->second, ask.onlyNode) : remembers) {
-          if (board_.mark(topic) != before) changed_.open();
-          take(topic, source, at,
-               own != reply->topics.end() ? std::move(own->second)
-                                          : TopicReply{FollowResult::changes, mark, {}, {}, reply->lease, {}, reply->position, {}});
+        auto at = requestedAt + std::min(reply->heldFor, clock_.now() - requestedAt);
+        auto topicReply = reply->topics.find(topic);
+        auto before = store_.mark(topic);
+        if (topicReply != reply->topics.end() ? store_.apply(topic, topicReply->second, request.onlyNode) : remembers) {
+          if (store_.mark(topic) != before) changed_.open();
+          recordReply(topic, source, at,
+                      topicReply != reply->topics.end()
+                          ? std::move(topicReply->second)
+                          : TopicReply{FollowResult::changes, mark, {}, {}, reply->lease, {}, reply->position, {}});
           continue;
         }
       }
-      fail(topic, source);
+      recordFailure(topic, source);
       failed = true;
     }
-    if (remembers) told_[source] = Told{ask.number, std::move(have), ask.onlyNode};
+    if (remembers) rememberedRequests_[source] = RememberedRequest{request.number, std::move(marks), request.onlyNode};
     if (failed) journal_.count("news.attempts_failed");
-    failures_ = failed ? std::min(failures_ + 1, 3u) : 0;
-    co_await sleep(clock_, failed ? timings_.pause * failures_ : Duration{5ms});
-    startAsks();
+    consecutiveFailures_ = failed ? std::min(consecutiveFailures_ + 1, 3u) : 0;
+    co_await sleep(clock_, failed ? timings_.retryPause * consecutiveFailures_ : Duration{5ms});
+    startRequestLoops();
   }
 }
 
-void UpdateFollower::take(const Topic& topic, const Address& source, Instant at, TopicReply reply) {
+void UpdateFollower::recordReply(const Topic& topic, const Address& source, Instant at, TopicReply reply) {
   auto& followed = topics_[topic];
-  bool lapsed = !leaseUntil(topic);
-  followed.failed.clear();
-  standings_[source].answeredAt = clock_.now();
+  bool leaseHadEnded = !leaseUntil(topic);
+  followed.failedSources.clear();
+  sourceStates_[source].answeredAt = clock_.now();
   if (followed.source != source) {
     followed.source = source;
-    journal_.line("news " + topic + " from " + source.get());
+    journal_.line("topic " + topic + ": updates now come from " + source.get());
   }
-  bool fromQuestion = reply.lease <= timings_.longestLease && at <= clock_.now();
-  journal_.check(Invariant::leaseFromQuestion, fromQuestion, [&] {
-    return "a lease of " + std::to_string(milliseconds(reply.lease).count()) + " ms for " + topic + " from " + source.get();
+  bool withinBound = reply.lease <= timings_.maxLease && at <= clock_.now();
+  journal_.check(Invariant::leaseFromQuestion, withinBound, [&] {
+    return "lease of " + std::to_string(milliseconds(reply.lease).count()) + " ms for " + topic + " from " + source.get();
   });
-  followed.leaseUntil = std::max(followed.leaseUntil.value_or(Instant::min()), at + std::min(reply.lease, timings_.longestLease));
+  followed.leaseUntil = std::max(followed.leaseUntil.value_or(Instant::min()), at + std::min(reply.lease, timings_.maxLease));
   if (!reply.databaseReports.empty()) {
-    followed.signs = std::move(reply.databaseReports);
-    followed.signsAt = at;
+    followed.databaseReports = std::move(reply.databaseReports);
+    followed.reportsAt = at;
   }
-  followed.takenAt = clock_.now();
+  followed.lastReplyAt = clock_.now();
   followed.position = std::max(followed.position, reply.position);
-  if (lapsed || !reply.table.empty() || !reply.changes.empty()) changed_.open();
+  if (leaseHadEnded || !reply.table.empty() || !reply.changes.empty()) changed_.open();
 }
 
-void UpdateFollower::fail(const Topic& topic, const Address& source) {
+void UpdateFollower::recordFailure(const Topic& topic, const Address& source) {
   auto& followed = topics_[topic];
   if (currentSource(topic, followed) != source) return;
   const auto& sources = sourcesOf(topic, followed);
-  followed.failed.insert(source);
+  followed.failedSources.insert(source);
   if (std::all_of(sources.begin(), sources.end(), [&](const auto& each) {
-        return followed.failed.contains(each) || silent(each);
+        return followed.failedSources.contains(each) || silent(each);
       }))
-    followed.failed = {source};
-  followed.instead = nextSource(sources, followed.failed);
+    followed.failedSources = {source};
+  followed.fallback = nextSource(sources, followed.failedSources);
 }
 
 }  // namespace tamarindshift
--- a/src/updates/update_follower.hpp
+++ b/src/updates/update_follower.hpp
@@ -1,3 +1,4 @@
+// Follows the topics of the plan at changing sources and keeps their tables and leases.
 #pragma once
 
 #include "base/desk.hpp"
@@ -7,88 +8,107 @@
 
 namespace tamarindshift {
 
+/// Sends long-poll `follow` requests to sources and keeps what they reply.
+///
+/// One request at a time runs at each source, for all topics that are followed there. A topic is followed at the first of its
+/// sources; if that one does not reply or is not current, at another one for a while.
 class UpdateFollower : public UpdateFeed {
  public:
   using Marks = std::map<Topic, std::uint64_t>;
+  /// The sources of a topic, in order of preference.
   using Sources = std::function<std::vector<Address>(const Topic&)>;
-  struct Followed {
-    // the source that is asked instead of the first one, since when, and those that failed since one answered
-    std::optional<Address> instead;
+  struct FollowedTopic {
+    /// The source that is followed instead of the first one.
+    std::optional<Address> fallback;
+    /// The last time at which the first source was chosen.
     Instant firstTriedAt{};
-    std::set<Address> failed;
-    Address asking;
+    /// The sources that failed since the last reply.
+    std::set<Address> failedSources;
+    /// The source that the last request for this topic went to.
+    Address requestedFrom;
     std::vector<Address> sources;
-    std::uint64_t sourcesOf = 0;
-    Instant sourcesAt{};
+    /// The version of the fleet's topic at which `sources` was read.
+    std::uint64_t sourcesMark = 0;
+    Instant sourcesReadAt{};
+    /// The source of the last reply.
     Address source;
     std::optional<Instant> leaseUntil;
-    std::vector<DatabaseReport> signs;
-    Instant signsAt{};
-    // when somebody last looked at the signs
-    std::optional<Instant> signsReadAt;
-    Instant takenAt{};
+    std::vector<DatabaseReport> databaseReports;
+    Instant reportsAt{};
+    /// The last time at which a caller read `databaseReports`; reports are requested for a while after that.
+    std::optional<Instant> reportsReadAt;
+    Instant lastReplyAt{};
     std::uint64_t position = 0;
   };
 
-  // the node whose own entries are all that is wanted of those that concern one node; nothing if all are
-  using Own = std::function<std::optional<Address>()>;
+  /// Of the entries that concern one node only, the node whose entries are requested; no value for those of all nodes.
+  using OnlyNode = std::function<std::optional<Address>()>;
   UpdateFollower(
-      Clock& clock, Desk& desk, Journal& journal, Sources sources, FollowTimings timings, Own own = [] {
+      Clock& clock, Desk& desk, Journal& journal, Sources sources, FollowTimings timings, OnlyNode onlyNode = [] {
         return std::nullopt;
       });
-  const UpdateStore& updates() const override { return board_; }
-  UpdateStore& updates() { return board_; }
+  const UpdateStore& updates() const override { return store_; }
+  UpdateStore& updates() { return store_; }
   Gate& changed() override { return changed_; }
   Instant coreRepliedAt() const override { return coreRepliedAt_; }
   std::optional<Instant> leaseUntil(const Topic& topic) override;
   std::vector<DatabaseReport> databaseReports(const Topic& topic) override;
   std::uint64_t position(const Topic& topic) override;
   bool sourceResponsive(const Topic& topic) override;
-  const std::map<Topic, Followed>& topics() const { return topics_; }
+  const std::map<Topic, FollowedTopic>& topics() const { return topics_; }
 
  private:
-  void followPlan();
-  Task<void> keepTopics();
-  Task<void> follow(Address source, std::uint64_t turn);
-  Marks marksFor(const Address& source, const std::optional<Address>& own);
-  FollowRequest makeAsk(const Address& source, const Marks& have, std::optional<Address> own);
-  void startAsks();
-  void take(const Topic& topic, const Address& source, Instant at, TopicReply reply);
-  void fail(const Topic& topic, const Address& source);
-  // what a source remembers of the last ask that it answered
-  struct Told {
+  /// Follows the fleet's topic and one topic for each service of the plan. Reads the plan only when it has changed.
+  void updateTopics();
+  Task<void> superviseTopics();
+  Task<void> requestLoop(Address source, std::uint64_t loopId);
+  /// The topics that are followed at `source` now, with the version held of each.
+  Marks marksFor(const Address& source, const std::optional<Address>& onlyNode);
+  FollowRequest makeRequest(const Address& source, const Marks& marks, std::optional<Address> onlyNode);
+  /// Starts a request loop at each source that topics have moved to; it replaces the loop that runs there.
+  void startRequestLoops();
+  void recordReply(const Topic& topic, const Address& source, Instant at, TopicReply reply);
+  void recordFailure(const Topic& topic, const Address& source);
+  /// The last numbered request that a source replied to and remembers, which the next one can build on.
+  struct RememberedRequest {
     std::uint64_t number = 0;
-    Marks have;
-    std::optional<Address> own;
+    Marks marks;
+    std::optional<Address> onlyNode;
   };
-  struct Standing {
+  struct SourceState {
     Instant answeredAt{};
     std::optional<Instant> silentAt;
   };
-  const std::vector<Address>& sourcesOf(const Topic& topic, Followed& followed);
-  std::optional<Address> currentSource(const Topic& topic, Followed& followed);
-  Standing standing(const Address& source) const;
+  const std::vector<Address>& sourcesOf(const Topic& topic, FollowedTopic& followed);
+  /// The source at which the topic is followed now: its first one, or the fallback for up to `returnToFirst`.
+  std::optional<Address> currentSource(const Topic& topic, FollowedTopic& followed);
+  SourceState sourceState(const Address& source) const;
+  /// Whether the last request to the source got no reply, within the last `returnToFirst`.
   bool silent(const Address& source) const;
-  Address nextSource(const std::vector<Address>& sources, const std::set<Address>& failed) const;
-  bool superseded(const Address& source, std::uint64_t turn) const;
+  /// Of the sources that have not failed, the one that replied last; silent ones come last.
+  Address nextSource(const std::vector<Address>& sources, const std::set<Address>& failedSources) const;
+  /// Whether a newer loop runs at the source, so that this one must end.
+  bool superseded(const Address& source, std::uint64_t loopId) const;
 
   Clock& clock_;
   Desk& desk_;
   Journal& journal_;
   Sources sources_;
-  Own own_;
+  OnlyNode onlyNode_;
   FollowTimings timings_;
-  UpdateStore board_;
-  std::map<Topic, Followed> topics_;
-  // the mark of the plan that the topics were read from
-  std::uint64_t topicsOf_ = 0;
-  std::map<Address, std::uint64_t> turns_;
-  std::map<Address, Standing> standings_;
-  std::map<Address, Told> told_;
-  std::uint64_t lastAsk_;
-  std::uint32_t failures_ = 0;
+  UpdateStore store_;
+  std::map<Topic, FollowedTopic> topics_;
+  /// The version of the plan entries from which `topics_` was read.
+  std::uint64_t topicsPlanMark_ = 0;
+  /// The running request loop of each source.
+  std::map<Address, std::uint64_t> loopIds_;
+  std::map<Address, SourceState> sourceStates_;
+  std::map<Address, RememberedRequest> rememberedRequests_;
+  /// Starts at the current time, so that numbers go on rising after a restart.
+  std::uint64_t lastRequestNumber_;
+  std::uint32_t consecutiveFailures_ = 0;
   Instant coreRepliedAt_{};
-  std::uint64_t lastTurn_ = 0;
+  std::uint64_t lastLoopId_ = 0;
   Gate changed_;
   TaskScope scope_;
 };
--- a/src/updates/update_server.cpp
+++ b/src/updates/update_server.cpp
@@ -6,107 +6,107 @@
 
 namespace {
 
-// leases of topics that are told as one differ by no more than this
-constexpr Duration sameLease = 200ms;
+// unchanged topics share one lease in a reply if their leases differ by no more than this
+constexpr Duration maxLeaseSpread = 200ms;
 
-bool quiet(const TopicReply& reply, std::uint64_t have) {
-  return reply.result == FollowResult::changes && reply.mark == have && reply.changes.empty() && reply.databaseReports.empty();
+bool unchanged(const TopicReply& reply, std::uint64_t knownMark) {
+  return reply.result == FollowResult::changes && reply.mark == knownMark && reply.changes.empty() && reply.databaseReports.empty();
 }
 
 }  // namespace
 
-UpdateServer::UpdateServer(Clock& clock, Desk& desk, UpdateStore& board, UpdateSource& source, Duration wait)
-    : clock_(clock), own_(desk.own()), board_(board), source_(source), wait_(wait) {
+UpdateServer::UpdateServer(Clock& clock, Desk& desk, UpdateStore& store, UpdateSource& source, Duration maxWait)
+    : clock_(clock), ownAddress_(desk.own()), store_(store), source_(source), maxWait_(maxWait) {
   desk.serve("follow", [this](Address from, std::string body) {
     return follow(std::move(from), std::move(body));
   });
 }
 
-bool UpdateServer::nothingNew(const Marks& have) const {
-  return std::all_of(have.begin(), have.end(), [&](const auto& each) {
-    return each.second != 0 && board_.mark(each.first) == each.second && source_.sourceResponsive(each.first);
+bool UpdateServer::upToDate(const Marks& marks) const {
+  return std::all_of(marks.begin(), marks.end(), [&](const auto& each) {
+    return each.second != 0 && store_.mark(each.first) == each.second && source_.sourceResponsive(each.first);
   });
 }
 
-std::optional<Instant> UpdateServer::leasedUntil(const Marks& have) const {
+std::optional<Instant> UpdateServer::earliestLeaseEnd(const Marks& marks) const {
   auto until = Instant::max();
-  for (const auto& [topic, mark] : have) {
-    auto own = source_.leaseUntil(topic);
-    if (!own) return std::nullopt;
-    until = std::min(until, *own);
+  for (const auto& [topic, mark] : marks) {
+    auto topicUntil = source_.leaseUntil(topic);
+    if (!topicUntil) return std::nullopt;
+    until = std::min(until, *topicUntil);
   }
   return until;
 }
 
-// until something is new, or a lease that was short or missing is renewed
-Task<void> UpdateServer::wait(std::shared_ptr<const Marks> have, Duration lease) {
+Task<void> UpdateServer::wait(std::shared_ptr<const Marks> marks, Duration lease) {
   auto now = clock_.now();
-  auto end = now + wait_;
-  auto own = leasedUntil(*have);
-  auto held = lease < Duration::zero() ? own.value_or(now) : now + lease;
-  bool isShort = held - now < 4 * wait_;
-  while (clock_.now() < end && nothingNew(*have)) {
-    if (own ? isShort && *own - held > wait_ : !source_.isReplica()) co_return;
-    co_await board_.changed().wait(clock_, isShort ? std::min(end, clock_.now() + lookAgain) : end);
-    own = leasedUntil(*have);
+  auto end = now + maxWait_;
+  auto ownUntil = earliestLeaseEnd(*marks);
+  auto followerUntil = lease < Duration::zero() ? ownUntil.value_or(now) : now + lease;
+  bool leaseIsShort = followerUntil - now < 4 * maxWait_;
+  while (clock_.now() < end && upToDate(*marks)) {
+    if (ownUntil ? leaseIsShort && *ownUntil - followerUntil > maxWait_ : !source_.isReplica()) co_return;
+    co_await store_.changed().wait(clock_, leaseIsShort ? std::min(end, clock_.now() + leasePollInterval) : end);
+    ownUntil = earliestLeaseEnd(*marks);
   }
 }
 
-std::shared_ptr<const UpdateServer::Marks> UpdateServer::whole(const Address& from, FollowRequest& ask) {
-  if (ask.number == 0) return std::make_shared<const Marks>(std::move(ask.knownMarks));
+std::shared_ptr<const UpdateServer::Marks> UpdateServer::resolveMarks(const Address& from, FollowRequest& request) {
+  if (request.number == 0) return std::make_shared<const Marks>(std::move(request.knownMarks));
   auto known = followers_.find(from);
-  if (ask.base != 0 && (known == followers_.end() || known->second.number != ask.base)) return nullptr;
+  if (request.base != 0 && (known == followers_.end() || known->second.number != request.base)) return nullptr;
   if (known == followers_.end()) {
     std::erase_if(followers_, [this](const auto& each) {
-      return clock_.now() - each.second.askedAt > remembered;
+      return clock_.now() - each.second.lastRequestAt > followerStateMaxAge;
     });
     known = followers_.try_emplace(from).first;
   }
   auto& own = known->second;
-  own.number = ask.number;
-  own.askedAt = clock_.now();
-  if (ask.base == 0) {
-    own.have = std::make_shared<const Marks>(std::move(ask.knownMarks));
-  } else if (!ask.knownMarks.empty()) {
-    auto have = *own.have;
-    for (const auto& [topic, mark] : ask.knownMarks) have[topic] = mark;
-    own.have = std::make_shared<const Marks>(std::move(have));
+  own.number = request.number;
+  own.lastRequestAt = clock_.now();
+  if (request.base == 0) {
+    own.marks = std::make_shared<const Marks>(std::move(request.knownMarks));
+  } else if (!request.knownMarks.empty()) {
+    auto marks = *own.marks;
+    for (const auto& [topic, mark] : request.knownMarks) marks[topic] = mark;
+    own.marks = std::make_shared<const Marks>(std::move(marks));
   }
-  return own.have;
+  return own.marks;
 }
 
-bool UpdateServer::passesWholeTo(const Address& from) const {
-  bool sameMachine = hostOf(from) == hostOf(own_);
+bool UpdateServer::maySendLargeSnapshots(const Address& from) const {
+  bool sameMachine = hostOf(from) == hostOf(ownAddress_);
   return source_.isReplica() || sameMachine;
 }
 
-FollowReply UpdateServer::reply(const Address& from, const FollowRequest& ask, const Marks& have) const {
+FollowReply UpdateServer::reply(const Address& from, const FollowRequest& request, const Marks& marks) const {
   FollowReply reply;
-  reply.number = ask.number;
+  reply.number = request.number;
   reply.fromReplica = source_.isReplica();
-  for (const auto& [topic, mark] : have) {
+  for (const auto& [topic, mark] : marks) {
     auto& own = reply.topics[topic];
     auto until = source_.leaseUntil(topic);
-    if (!until || *until <= clock_.now() || !board_.find(topic) || !source_.sourceResponsive(topic)) continue;
-    if (!passesWholeTo(from) && board_.needsLargeSnapshot(topic, mark, mostWholeOfNode)) continue;
-    board_.fill(topic, mark, own, ask.onlyNode);
+    if (!until || *until <= clock_.now() || !store_.find(topic) || !source_.sourceResponsive(topic)) continue;
+    if (!maySendLargeSnapshots(from) && store_.needsLargeSnapshot(topic, mark, maxSnapshotBytesFromNode)) continue;
+    store_.fillReply(topic, mark, own, request.onlyNode);
     own.lease = *until - clock_.now();
-    if (ask.databaseReports && (ask.number == 0 || ask.reportTopics.contains(topic))) own.databaseReports = source_.databaseReports(topic);
+    if (request.databaseReports && (request.number == 0 || request.reportTopics.contains(topic)))
+      own.databaseReports = source_.databaseReports(topic);
     own.position = source_.position(topic);
   }
-  if (ask.number != 0) leaveOutQuiet(reply, have);
+  if (request.number != 0) omitUnchangedTopics(reply, marks);
   return reply;
 }
 
-void UpdateServer::leaveOutQuiet(FollowReply& reply, const Marks& have) {
+void UpdateServer::omitUnchangedTopics(FollowReply& reply, const Marks& marks) {
   Duration longest{};
   for (const auto& [topic, own] : reply.topics)
-    if (quiet(own, have.at(topic))) longest = std::max(longest, own.lease);
+    if (unchanged(own, marks.at(topic))) longest = std::max(longest, own.lease);
   reply.lease = longest;
   std::optional<std::uint64_t> position;
   std::erase_if(reply.topics, [&](const auto& each) {
     const auto& own = each.second;
-    if (!quiet(own, have.at(each.first)) || own.lease + sameLease < longest) return false;
+    if (!unchanged(own, marks.at(each.first)) || own.lease + maxLeaseSpread < longest) return false;
     reply.lease = std::min(reply.lease, own.lease);
     position = std::min(position.value_or(own.position), own.position);
     return true;
@@ -115,13 +115,13 @@
 }
 
 Task<std::optional<std::string>> UpdateServer::follow(Address from, std::string body) {
-  auto ask = unpacked<FollowRequest>(body);
-  if (!ask) co_return std::nullopt;
+  auto request = unpacked<FollowRequest>(body);
+  if (!request) co_return std::nullopt;
   auto arrivedAt = clock_.now();
-  auto have = whole(from, *ask);
-  if (!have) co_return packed(FollowReply{});
-  co_await wait(have, ask->lease);
-  auto reply = this->reply(from, *ask, *have);
+  auto marks = resolveMarks(from, *request);
+  if (!marks) co_return packed(FollowReply{});
+  co_await wait(marks, request->lease);
+  auto reply = this->reply(from, *request, *marks);
   reply.heldFor = clock_.now() - arrivedAt;
   co_return packed(reply);
 }
--- a/src/updates/update_source.hpp
+++ b/src/updates/update_source.hpp
@@ -1,3 +1,4 @@
+// What an update server needs to know of its source besides the tables: leases, log positions and database reports.
 #pragma once
 
 #include <optional>
@@ -8,16 +9,19 @@
 
 namespace tamarindshift {
 
+/// Where updates come from: a replica itself, or a node that follows replicas and passes their updates on.
 class UpdateSource {
  public:
   virtual ~UpdateSource() = default;
+  /// The end of the lease under which a topic may be acted on; no value if there is no lease now.
   virtual std::optional<Instant> leaseUntil(const Topic& topic) = 0;
-  // whether what is passed on of a topic comes from a source that still answers
+  /// Whether the source from which this node gets the topic still replies.
   virtual bool sourceResponsive(const Topic&) { return true; }
+  /// What the databases of a service last reported in heartbeats.
   virtual std::vector<DatabaseReport> databaseReports(const Topic& topic) = 0;
-  // whether this is a replica of the core
+  /// Whether this is a replica of the control plane.
   virtual bool isReplica() const { return false; }
-  // place in the green order up to which the topic's news are known
+  /// Position in the replicated log up to which the topic is known.
   virtual std::uint64_t position(const Topic& topic) = 0;
 };
 
--- a/src/updates/update_store.cpp
+++ b/src/updates/update_store.cpp
@@ -6,159 +6,160 @@
 
 namespace {
 
-constexpr std::size_t mostWholePlan = 64u << 20;
+// bound on the memory that a damaged or hostile reply can claim
+constexpr std::size_t maxInflatedPlanBytes = 64u << 20;
 
-bool ofPlan(const std::string& key) {
+bool isPlanEntry(const std::string& key) {
   return key.starts_with(planPrefix);
 }
 
-bool concerns(const std::string& key, const std::optional<Address>& own) {
-  return !own || !key.starts_with(sharePrefix) || key.compare(sharePrefix.size(), std::string::npos, own->get()) == 0;
+bool isFor(const std::string& key, const std::optional<Address>& onlyNode) {
+  return !onlyNode || !key.starts_with(sharePrefix) || key.compare(sharePrefix.size(), std::string::npos, onlyNode->get()) == 0;
 }
 
 }  // namespace
 
-UpdateStore::TopicState& UpdateStore::entry(const Topic& topic) {
-  auto& entry = entries_[topic];
-  if (!entry) entry = std::make_unique<TopicState>();
-  return *entry;
+UpdateStore::TopicState& UpdateStore::state(const Topic& topic) {
+  auto& state = topics_[topic];
+  if (!state) state = std::make_unique<TopicState>();
+  return *state;
 }
 
 const UpdateStore::TopicState* UpdateStore::find(const Topic& topic) const {
-  auto found = entries_.find(topic);
-  return found == entries_.end() ? nullptr : found->second.get();
+  auto found = topics_.find(topic);
+  return found == topics_.end() ? nullptr : found->second.get();
 }
 
 std::uint64_t UpdateStore::mark(const Topic& topic) const {
-  const auto* entry = find(topic);
-  return entry ? entry->mark : 0;
+  const auto* state = find(topic);
+  return state ? state->mark : 0;
 }
 
-std::uint64_t UpdateStore::completeMark(const Topic& topic, const std::optional<Address>& own) const {
-  const auto* entry = find(topic);
-  return entry && (!entry->own || entry->own == own) ? entry->mark : 0;
+std::uint64_t UpdateStore::completeMark(const Topic& topic, const std::optional<Address>& onlyNode) const {
+  const auto* state = find(topic);
+  return state && (!state->onlyNode || state->onlyNode == onlyNode) ? state->mark : 0;
 }
 
-void UpdateStore::change(TopicState& entry, TopicChange change) {
-  entry.mark = change.mark;
-  if (ofPlan(change.key)) {
-    entry.planChangeMark = change.mark;
-    entry.compressedPlan.clear();
+void UpdateStore::applyChange(TopicState& state, TopicChange change) {
+  state.mark = change.mark;
+  if (isPlanEntry(change.key)) {
+    state.planChangeMark = change.mark;
+    state.compressedPlan.clear();
   }
   if (change.removed)
-    entry.table.erase(change.key);
+    state.table.erase(change.key);
   else
-    entry.table[change.key] = change.value;
-  entry.changes.push_back(std::move(change));
-  while (entry.changes.size() > keptChanges) {
-    entry.changesSince = entry.changes.front().mark;
-    entry.changes.pop_front();
+    state.table[change.key] = change.value;
+  state.changes.push_back(std::move(change));
+  while (state.changes.size() > maxKeptChanges) {
+    state.changesSince = state.changes.front().mark;
+    state.changes.pop_front();
   }
 }
 
 void UpdateStore::publish(const Topic& topic, std::uint64_t mark, TopicTable table) {
-  auto& entry = this->entry(topic);
-  if (mark <= entry.mark) return;
+  auto& state = this->state(topic);
+  if (mark <= state.mark) return;
   std::vector<TopicChange> changes;
   for (const auto& [key, value] : table) {
-    auto old = entry.table.find(key);
-    if (old == entry.table.end() || old->second != value) changes.push_back(TopicChange{mark, key, false, value});
+    auto old = state.table.find(key);
+    if (old == state.table.end() || old->second != value) changes.push_back(TopicChange{mark, key, false, value});
   }
-  for (const auto& [key, value] : entry.table)
+  for (const auto& [key, value] : state.table)
     if (!table.contains(key)) changes.push_back(TopicChange{mark, key, true, {}});
   if (changes.empty()) return;
-  for (auto& each : changes) change(entry, std::move(each));
+  for (auto& each : changes) applyChange(state, std::move(each));
   changed_.open();
 }
 
 void UpdateStore::publishChanges(const Topic& topic, std::uint64_t mark, std::vector<TopicChange> changes) {
-  auto& entry = this->entry(topic);
-  if (mark <= entry.mark) return;
+  auto& state = this->state(topic);
+  if (mark <= state.mark) return;
   std::erase_if(changes, [&](const TopicChange& each) {
-    auto old = entry.table.find(each.key);
-    return each.removed ? old == entry.table.end() : old != entry.table.end() && old->second == each.value;
+    auto old = state.table.find(each.key);
+    return each.removed ? old == state.table.end() : old != state.table.end() && old->second == each.value;
   });
   if (changes.empty()) return;
-  for (auto& each : changes) change(entry, std::move(each));
+  for (auto& each : changes) applyChange(state, std::move(each));
   changed_.open();
 }
 
 void UpdateStore::restore(const Topic& topic, std::uint64_t mark, TopicTable table) {
-  auto& entry = this->entry(topic);
-  entry.mark = entry.changesSince = entry.planChangeMark = mark;
-  entry.table = std::move(table);
-  entry.compressedPlan.clear();
-  entry.changes.clear();
+  auto& state = this->state(topic);
+  state.mark = state.changesSince = state.planChangeMark = mark;
+  state.table = std::move(table);
+  state.compressedPlan.clear();
+  state.changes.clear();
   changed_.open();
 }
 
-bool UpdateStore::apply(const Topic& topic, const TopicReply& reply, const std::optional<Address>& own) {
-  auto& entry = this->entry(topic);
-  if (reply.result == FollowResult::notCurrent || reply.mark < entry.mark) return false;
+bool UpdateStore::apply(const Topic& topic, const TopicReply& reply, const std::optional<Address>& onlyNode) {
+  auto& state = this->state(topic);
+  if (reply.result == FollowResult::notCurrent || reply.mark < state.mark) return false;
   if (reply.result == FollowResult::snapshot) {
-    if (reply.mark == entry.mark && (!entry.own || entry.own == own)) return true;
+    if (reply.mark == state.mark && (!state.onlyNode || state.onlyNode == onlyNode)) return true;
     auto table = reply.table;
     if (!reply.compressedPlan.empty()) {
-      auto bytes = inflated(reply.compressedPlan, mostWholePlan);
+      auto bytes = inflated(reply.compressedPlan, maxInflatedPlanBytes);
       auto plan = bytes ? unpacked<TopicTable>(*bytes) : std::nullopt;
       if (!plan) return false;
       table.merge(*plan);
     }
-    entry.own = own;
+    state.onlyNode = onlyNode;
     restore(topic, reply.mark, std::move(table));
     return true;
   }
-  bool changed = reply.mark > entry.mark;
-  if (changed) entry.own = own;
-  auto held = entry.mark;
+  bool changed = reply.mark > state.mark;
+  if (changed) state.onlyNode = onlyNode;
+  auto markBefore = state.mark;
   for (const auto& each : reply.changes) {
-    if (each.mark <= held) continue;
-    change(entry, each);
+    if (each.mark <= markBefore) continue;
+    applyChange(state, each);
   }
-  entry.mark = reply.mark;
+  state.mark = reply.mark;
   if (changed) changed_.open();
   return true;
 }
 
-bool UpdateStore::needsLargeSnapshot(const Topic& topic, std::uint64_t have, std::size_t bytes) const {
-  const auto* entry = find(topic);
-  if (!entry || (have != 0 && have >= entry->changesSince)) return false;
+bool UpdateStore::needsLargeSnapshot(const Topic& topic, std::uint64_t knownMark, std::size_t bytes) const {
+  const auto* state = find(topic);
+  if (!state || (knownMark != 0 && knownMark >= state->changesSince)) return false;
   std::size_t size = 0;
-  for (const auto& [key, value] : entry->table)
+  for (const auto& [key, value] : state->table)
     if ((size += key.size() + value.size()) > bytes) return true;
   return false;
 }
 
-const std::string& UpdateStore::compressedPlan(const TopicState& entry) {
-  if (!entry.compressedPlan.empty()) return entry.compressedPlan;
+const std::string& UpdateStore::compressedPlanOf(const TopicState& state) {
+  if (!state.compressedPlan.empty()) return state.compressedPlan;
   TopicTable plan;
   std::size_t size = 0;
-  for (auto each = entry.table.lower_bound(planPrefix); each != entry.table.end() && ofPlan(each->first); ++each) {
+  for (auto each = state.table.lower_bound(planPrefix); each != state.table.end() && isPlanEntry(each->first); ++each) {
     plan.insert(*each);
     size += each->first.size() + each->second.size();
   }
-  if (size >= leastWholePlan) entry.compressedPlan = deflated(packed(plan));
-  return entry.compressedPlan;
+  if (size >= minCompressedPlanBytes) state.compressedPlan = deflated(packed(plan));
+  return state.compressedPlan;
 }
 
-void UpdateStore::fill(const Topic& topic, std::uint64_t have, TopicReply& reply, const std::optional<Address>& own) const {
-  const auto* entry = find(topic);
-  if (!entry || entry->mark < have || (entry->own && entry->own != own)) {
+void UpdateStore::fillReply(const Topic& topic, std::uint64_t knownMark, TopicReply& reply, const std::optional<Address>& onlyNode) const {
+  const auto* state = find(topic);
+  if (!state || state->mark < knownMark || (state->onlyNode && state->onlyNode != onlyNode)) {
     reply.result = FollowResult::notCurrent;
     return;
   }
-  reply.mark = entry->mark;
-  if (have < entry->changesSince || have == 0) {
+  reply.mark = state->mark;
+  if (knownMark < state->changesSince || knownMark == 0) {
     reply.result = FollowResult::snapshot;
-    reply.compressedPlan = compressedPlan(*entry);
-    bool planApart = !reply.compressedPlan.empty();
-    for (const auto& [key, value] : entry->table)
-      if (concerns(key, own) && !(planApart && ofPlan(key))) reply.table.emplace(key, value);
+    reply.compressedPlan = compressedPlanOf(*state);
+    bool planIsSeparate = !reply.compressedPlan.empty();
+    for (const auto& [key, value] : state->table)
+      if (isFor(key, onlyNode) && !(planIsSeparate && isPlanEntry(key))) reply.table.emplace(key, value);
     return;
   }
   reply.result = FollowResult::changes;
-  for (const auto& each : entry->changes)
-    if (each.mark > have && concerns(each.key, own)) reply.changes.push_back(each);
+  for (const auto& each : state->changes)
+    if (each.mark > knownMark && isFor(each.key, onlyNode)) reply.changes.push_back(each);
 }
 
 }  // namespace tamarindshift
--- a/src/updates/zone_relays.cpp
+++ b/src/updates/zone_relays.cpp
@@ -11,21 +11,21 @@
 }
 
 bool ZoneRelays::isRelay(const Address& agent) const {
-  auto homes = agents_.begin() + static_cast<std::ptrdiff_t>(std::min(agents_.size(), groups() * homesInGroup));
-  return std::find(agents_.begin(), homes, agent) != homes;
+  auto relaysEnd = agents_.begin() + static_cast<std::ptrdiff_t>(std::min(agents_.size(), groupCount() * relaysPerGroup));
+  return std::find(agents_.begin(), relaysEnd, agent) != relaysEnd;
 }
 
 std::vector<Address> ZoneRelays::relaysFor(const Topic& topic, const Address& follower) const {
   std::vector<Address> sources;
   auto self = std::find(agents_.begin(), agents_.end(), follower);
   if (self == agents_.end()) return sources;
-  auto place = static_cast<std::size_t>(self - agents_.begin());
-  auto group = place < groups() * homesInGroup ? place / homesInGroup : hash(follower.get()) % groups();
-  auto first = group * homesInGroup;
-  auto homes = std::min(homesInGroup, agents_.size() - first);
-  auto home = hash(topic) % homes;
-  for (std::size_t next = 0; next < homes; ++next) {
-    const auto& agent = agents_[first + (home + next) % homes];
+  auto index = static_cast<std::size_t>(self - agents_.begin());
+  auto group = index < groupCount() * relaysPerGroup ? index / relaysPerGroup : hash(follower.get()) % groupCount();
+  auto first = group * relaysPerGroup;
+  auto relays = std::min(relaysPerGroup, agents_.size() - first);
+  auto topicRelay = hash(topic) % relays;
+  for (std::size_t next = 0; next < relays; ++next) {
+    const auto& agent = agents_[first + (topicRelay + next) % relays];
     if (agent == follower) break;
     sources.push_back(agent);
   }
--- a/tests/plan_news_test.cpp
+++ b/tests/plan_news_test.cpp
@@ -28,7 +28,7 @@
   }
   std::size_t bytesSince(const Topic& topic, std::uint64_t mark) const {
     TopicReply reply;
-    board.fill(topic, mark, reply);
+    board.fillReply(topic, mark, reply);
     CHECK(reply.result == FollowResult::changes);
     std::size_t bytes = 0;
     for (const auto& change : reply.changes) bytes += change.value.size();
@@ -58,7 +58,7 @@
   UpdateStore follower;
   auto follow = [&](UpdateStore& board, const Topic& topic) {
     TopicReply reply;
-    replica.board.fill(topic, board.mark(topic), reply);
+    replica.board.fillReply(topic, board.mark(topic), reply);
     CHECK(board.apply(topic, reply));
     return board.find(topic)->table;
   };
--- a/tests/update_restore_test.cpp
+++ b/tests/update_restore_test.cpp
@@ -40,7 +40,7 @@
 
 void follow(UpdateStore& follower, const UpdateStore& source, const Topic& topic) {
   TopicReply reply;
-  source.fill(topic, follower.mark(topic), reply);
+  source.fillReply(topic, follower.mark(topic), reply);
   CHECK(reply.result != FollowResult::notCurrent);
   CHECK(follower.apply(topic, reply));
 }
@@ -54,7 +54,7 @@
   ordered.enrol("10.0.0.2:1", 2);
   Replica restored;
   REQUIRE(restored.state.restore(ordered.state.snapshot()));
-  for (const auto& [topic, entry] : ordered.board.entries()) {
+  for (const auto& [topic, entry] : ordered.board.topics()) {
     CAPTURE(topic);
     CHECK(restored.board.mark(topic) == entry->mark);
   }
@@ -159,7 +159,7 @@
       }
       Replica anew;
       REQUIRE(anew.state.restore(replica.state.snapshot()));
-      for (const auto& [topic, entry] : replica.board.entries()) {
+      for (const auto& [topic, entry] : replica.board.topics()) {
         CAPTURE(step, topic);
         REQUIRE(anew.board.find(topic));
         CHECK(anew.board.find(topic)->table == entry->table);
--- a/tests/update_server_test.cpp
+++ b/tests/update_server_test.cpp
@@ -126,7 +126,7 @@
 
 TEST_CASE("invariants: a source that gives a lease beyond its duration is noticed, and its lease is cut") {
   FollowTimings timings{350ms, 50ms};
-  timings.longestLease = 800ms;
+  timings.maxLease = 800ms;
   Following following(1, timings);
   following.run(2s);
   CHECK_FALSE(SimulatedJournal::takeViolations().empty());
--- a/tests/update_snapshot_test.cpp
+++ b/tests/update_snapshot_test.cpp
@@ -119,7 +119,7 @@
   auto table = withNodes(routes(1, 4000), 100);
   source.publish(fleetTopic, 7, table);
   TopicReply reply;
-  source.fill(fleetTopic, 0, reply);
+  source.fillReply(fleetTopic, 0, reply);
   std::size_t size = 0;
   for (const auto& [key, value] : table) size += key.size() + value.size();
   CHECK(packed(reply).size() * 3 < size);
@@ -133,15 +133,15 @@
   UpdateStore board;
   board.publish(fleetTopic, 1, withNodes(routes(1, 1000), 1));
   TopicReply first;
-  board.fill(fleetTopic, 0, first);
+  board.fillReply(fleetTopic, 0, first);
   board.publishChanges(fleetTopic, 2, {TopicChange{2, "node/10.1.0.9:1", false, "here"}});
   TopicReply second;
-  board.fill(fleetTopic, 0, second);
+  board.fillReply(fleetTopic, 0, second);
   CHECK(second.compressedPlan == first.compressedPlan);
   CHECK(second.table.contains("node/10.1.0.9:1"));
   board.publish(fleetTopic, 3, withNodes(routes(2, 1001), 1));
   TopicReply third;
-  board.fill(fleetTopic, 0, third);
+  board.fillReply(fleetTopic, 0, third);
   CHECK(third.compressedPlan != first.compressedPlan);
   UpdateStore follower;
   REQUIRE(follower.apply(fleetTopic, third));
@@ -152,7 +152,7 @@
   UpdateStore board;
   board.publish(fleetTopic, 1, routes(1, 1000));
   TopicReply reply;
-  board.fill(fleetTopic, 0, reply);
+  board.fillReply(fleetTopic, 0, reply);
   for (std::size_t byte = 0; byte < reply.compressedPlan.size(); byte += 97) {
     auto damaged = reply;
     damaged.compressedPlan[byte] ^= 0x55;
--- a/tests/update_store_node_test.cpp
+++ b/tests/update_store_node_test.cpp
@@ -22,7 +22,7 @@
   }
   TopicReply follow(UpdateStore& follower, const UpdateStore& from, const std::optional<Address>& own) {
     TopicReply reply;
-    from.fill(topic, follower.completeMark(topic, own), reply, own);
+    from.fillReply(topic, follower.completeMark(topic, own), reply, own);
     taken = follower.apply(topic, reply, own);
     return reply;
   }
