--- a/src/proxy/connection_pool.cpp
+++ b/src/proxy/connection_pool.cpp
@@ -63,7 +63,7 @@
   while (!pool.idle.empty()) {
     auto connection = pool.idle.back();
     pool.idle.pop_back();
-    if (connection->mustClose || !connection->link->usable()) {
+    if (connection->dropped || !connection->link->usable()) {
       journal_.count("pool.stale");
       closeConnection(connection);
       continue;
@@ -110,7 +110,7 @@
 }
 
 void ConnectionPool::release(const std::shared_ptr<PooledConnection>& connection) {
-  if (connection->mustClose || !connection->link || !connection->link->usable()) return drop(connection);
+  if (connection->dropped || !connection->link || !connection->link->usable()) return drop(connection);
   auto& pool = pools_[{connection->service, connection->database}];
   --pool.busy[connection->branch];
   busy_.erase(connection);
@@ -119,7 +119,7 @@
 
 void ConnectionPool::drop(const std::shared_ptr<PooledConnection>& connection) {
   if (!connection->link) return;
-  connection->mustClose = true;
+  connection->dropped = true;
   if (connection->running) return connection->link->close();
   busy_.erase(connection);
   --pools_[{connection->service, connection->database}].busy[connection->branch];
@@ -134,13 +134,13 @@
     }
   auto busy = busy_;
   for (const auto& connection : busy)
-    if (connection->service == service && !connection->mustClose) drop(connection);
+    if (connection->service == service && !connection->dropped) drop(connection);
 }
 
 void ConnectionPool::closeBusyOfOlderEpochs(const ServiceName& service, Epoch epoch) {
   auto busy = busy_;
   for (const auto& connection : busy)
-    if (connection->service == service && connection->running && connection->epoch < epoch && !connection->mustClose) drop(connection);
+    if (connection->service == service && connection->running && connection->epoch < epoch && !connection->dropped) drop(connection);
 }
 
 void ConnectionPool::closeAllExcept(const std::map<ServiceName, ServiceDirectory::ServiceView>& services) {
@@ -175,7 +175,7 @@
   std::map<std::pair<DatabaseName, BranchName>, std::uint32_t> seen;
   for (bool running : {true, false})
     for (const auto& connection : busy_)
-      if (connection->service == service && connection->running == running && !connection->mustClose &&
+      if (connection->service == service && connection->running == running && !connection->dropped &&
           ++seen[{connection->database, connection->branch}] > connectionLimit(view, connection->branch))
         surplus.push_back(connection);
   return surplus;
--- a/src/proxy/connection_pool.hpp
+++ b/src/proxy/connection_pool.hpp
@@ -29,10 +29,10 @@
                                                Instant deadline);
   /// Makes a busy connection idle, or drops it if it is unusable.
   void release(const std::shared_ptr<PooledConnection>& connection);
-  /// Closes a connection; one with a request underway is closed when that ends.
+  /// Closes a connection at once. One with a request underway counts as busy until that request has ended, as lost.
   void drop(const std::shared_ptr<PooledConnection>& connection);
   void closeAll(const ServiceName& service);
-  /// Drops connections with a request underway that was sent under an epoch before `epoch`.
+  /// Drops connections with a request underway that was sent under an epoch older than `epoch`.
   void closeBusyOfOlderEpochs(const ServiceName& service, Epoch epoch);
   /// Closes the connections of all services that are not in `services`.
   void closeAllExcept(const std::map<ServiceName, ServiceDirectory::ServiceView>& services);
--- a/src/proxy/pooled_connection.hpp
+++ b/src/proxy/pooled_connection.hpp
@@ -20,12 +20,12 @@
   std::unique_ptr<DatabaseConnection> link;
   /// The session that holds the connection for a transaction or session state.
   std::weak_ptr<Session> pinnedBy;
-  /// Since when the plan no longer allows this use of the connection.
+  /// Since when the plan or the share of its branch no longer allows this use of the connection.
   std::optional<Instant> mismatchSince;
   /// A request is underway on it.
   bool running = false;
-  /// Set by `ConnectionPool::drop`: the connection is never used again, and is closed once its request has ended.
-  bool mustClose = false;
+  /// Set by `ConnectionPool::drop`: closed, and never used again.
+  bool dropped = false;
 };
 
 }  // namespace tamarindshift
--- a/src/proxy/proxy_node.cpp
+++ b/src/proxy/proxy_node.cpp
@@ -68,20 +68,20 @@
   report.mark = directory_.planMark();
   for (const auto& [name, view] : directory_.services()) {
     if (!view.plan) continue;
-    auto& own = report.services[name];
-    own.followed = followedMarks_[name];
-    own.epoch = view.primary.epoch;
-    own.acknowledged = acknowledged_[name];
-    own.working = now - lastWorkAt_[name] < settings_.timings.suspicionKept;
+    auto& serviceReport = report.services[name];
+    serviceReport.followed = followedMarks_[name];
+    serviceReport.epoch = view.primary.epoch;
+    serviceReport.acknowledged = acknowledged_[name];
+    serviceReport.working = now - lastWorkAt_[name] < settings_.timings.suspicionKept;
     for (const auto& [database, unreachable] : unreachable_[name])
-      if (unreachable.attempts > 1 && now - unreachable.at < settings_.timings.suspicionKept) own.suspects.insert(database);
+      if (unreachable.attempts > 1 && now - unreachable.at < settings_.timings.suspicionKept) serviceReport.suspects.insert(database);
     if (auto until = directory_.leaseUntil(name)) report.lease = std::max(report.lease, *until - now);
     for (const auto& [branch, planned] : view.plan->service.branches) {
       auto held = pool_.mostBusyOnOneDatabase(name, branch);
       auto wants = static_cast<double>(held + requests_.waitingCount(name, branch));
       auto& demand = demand_[{name, branch}];
       demand = std::max(wants, demand * 0.974);
-      own.wanted[branch] = draining() ? 0 : static_cast<std::uint32_t>(demand + 1.5);
+      serviceReport.wanted[branch] = draining() ? 0 : static_cast<std::uint32_t>(demand + 1.5);
     }
   }
   return report;
@@ -91,18 +91,18 @@
   if (report.draining != lastReport_.draining || report.mark != lastReport_.mark || report.services.size() != lastReport_.services.size())
     return true;
   return std::any_of(report.services.begin(), report.services.end(), [&](const auto& each) {
-    const auto& [name, own] = each;
+    const auto& [name, serviceReport] = each;
     auto before = lastReport_.services.find(name);
     if (before == lastReport_.services.end()) return true;
     const auto& share = directory_.service(name)->share.most;
-    bool needsMore = std::any_of(own.wanted.begin(), own.wanted.end(), [&](const auto& want) {
+    bool needsMore = std::any_of(serviceReport.wanted.begin(), serviceReport.wanted.end(), [&](const auto& want) {
       auto granted = share.find(want.first);
       auto reported = before->second.wanted.find(want.first);
       return granted != share.end() && want.second > granted->second &&
              (reported == before->second.wanted.end() || reported->second <= granted->second);
     });
-    return needsMore || own.followed != before->second.followed || own.epoch != before->second.epoch ||
-           own.working != before->second.working || own.suspects != before->second.suspects;
+    return needsMore || serviceReport.followed != before->second.followed || serviceReport.epoch != before->second.epoch ||
+           serviceReport.working != before->second.working || serviceReport.suspects != before->second.suspects;
   });
 }
 
@@ -182,7 +182,7 @@
   auto now = clock_.now();
   auto busy = pool_.busyConnections();
   for (const auto& connection : busy) {
-    if (connection->mustClose) continue;
+    if (connection->dropped) continue;
     auto session = connection->pinnedBy.lock();
     bool pinned = session && session->pinned == connection && !connection->running;
     const auto* service = directory_.service(connection->service);
--- a/src/proxy/proxy_placement.cpp
+++ b/src/proxy/proxy_placement.cpp
@@ -73,6 +73,7 @@
   auto operation = record->request.operation;
   bool pins = operation == Operation::prepare || operation == Operation::set;
   if (pins) {
+    // sessions with prepared statements or set values may hold half of the branch's share, and at least one connection
     auto granted = view.service->share.most.find(record->branch);
     auto most = granted == view.service->share.most.end() ? 0 : std::max(1u, granted->second / 2);
     if (this->pinnedCount(record->service, record->branch) >= most) return refuse(record, "too many sessions hold connections");
@@ -96,7 +97,7 @@
   const auto& session = record->session;
   auto connection = session->pinned;
   if (connection->service != record->service) return refuse(record, "the session's connection is at another service", 409);
-  bool usable = !connection->mustClose && connection->link && connection->link->usable();
+  bool usable = !connection->dropped && connection->link && connection->link->usable();
   if (!usable || !mayForward(record, *connection)) {
     closePinnedConnection(session);
     if (session->inTransaction) return refuseLostTransaction(record);
@@ -133,17 +134,17 @@
 std::optional<ProxyNode::Choice> ProxyNode::chooseReplica(const Record& record, const ServiceDirectory::KindView& view) const {
   std::optional<Choice> best;
   std::uint32_t least = 0;
-  auto own = record->session->minPositions.find(record->service);
-  auto needed = own == record->session->minPositions.end() ? Position{} : own->second;
+  auto minPosition = record->session->minPositions.find(record->service);
+  auto needed = minPosition == record->session->minPositions.end() ? Position{} : minPosition->second;
   auto bound = view.kind->stalenessBound();
-  for (const auto& sign : directory_.databaseReports(record->service)) {
-    DatabaseName name{sign.database};
+  for (const auto& report : directory_.databaseReports(record->service)) {
+    DatabaseName name{report.database};
     auto planned = view.service->databases.find(name);
     if (planned == view.service->databases.end() || name == view.service->primary.primary) continue;
     if (view.service->drained.contains(name) || record->avoidedDatabases.contains(name)) continue;
     if (!view.selects(name)) continue;
-    if (sign.leaving || sign.role != "replica" || Epoch{sign.epoch} != view.service->primary.epoch || sign.age > bound ||
-        Position{sign.position} < needed)
+    if (report.leaving || report.role != "replica" || Epoch{report.epoch} != view.service->primary.epoch || report.age > bound ||
+        Position{report.position} < needed)
       continue;
     auto load = pool_.load(record->service, name);
     if (!best || load < least) {
--- a/src/proxy/proxy_replies.cpp
+++ b/src/proxy/proxy_replies.cpp
@@ -152,8 +152,9 @@
     return replyUnknown(record, "kept by the primary alone");
   }
   if (record->request.reads && !atPrimary) {
-    auto own = session->minPositions.find(record->service);
-    bool behind = reply.status.epoch != connection->epoch || (own != session->minPositions.end() && reply.status.position < own->second);
+    auto minPosition = session->minPositions.find(record->service);
+    bool behind = reply.status.epoch != connection->epoch ||
+                  (minPosition != session->minPositions.end() && reply.status.position < minPosition->second);
     bool stale = reply.status.contactAge > view.kind->stalenessBound();
     if (behind || stale) {
       journal_.count("reads.too_stale");
@@ -166,8 +167,8 @@
     }
   }
   if (committed) {
-    auto& own = session->minPositions[record->service];
-    own = std::max(own, reply.commitPosition);
+    auto& minPosition = session->minPositions[record->service];
+    minPosition = std::max(minPosition, reply.commitPosition);
     auto& acknowledged = acknowledged_[record->service];
     acknowledged = std::max(acknowledged, Place{reply.status.epoch, reply.commitPosition});
   }
@@ -191,7 +192,7 @@
   bool holds = session->inTransaction || session->stateful;
   bool abandoned =
       session->closing || session->clientLeft || session->transactionLost || session->stateLost || record->stage == RequestStage::replied;
-  if (holds && !abandoned && !connection->mustClose) {
+  if (holds && !abandoned && !connection->dropped) {
     session->pinned = connection;
     connection->pinnedBy = session;
     return;
--- a/src/proxy/request_record.hpp
+++ b/src/proxy/request_record.hpp
@@ -21,7 +21,7 @@
   /// When the client may try again, if that makes sense.
   std::optional<Duration> retryAfter;
   DatabaseName database;
-  /// Log position that later reads of the session must have reached.
+  /// The log position of the write, or for a read the position of the database that served it.
   Position position;
 };
 
@@ -41,7 +41,7 @@
   Instant queueDeadline{};
   /// How often the request was sent to a database.
   std::uint32_t attempts = 0;
-  /// Replicas that failed this request or were too far behind for it.
+  /// Databases that failed this request or were too far behind for it; replicas among them are not chosen again.
   std::set<DatabaseName> avoidedDatabases;
   RequestReply reply;
   /// Opens when `reply` is set.
--- a/src/proxy/service_directory.cpp
+++ b/src/proxy/service_directory.cpp
@@ -45,10 +45,10 @@
   fleetMark_ = entry->mark;
   if (entry->planChangeMark != fleetPlanChangeMark_) fleetPlan_ = fleetPlanIn(entry->table);
   fleetPlanChangeMark_ = entry->planChangeMark;
-  auto own = entry->table.find(nodePrefix + node_.get());
-  nodeRegistered_ = own != entry->table.end();
+  auto nodeEntry = entry->table.find(nodePrefix + node_.get());
+  nodeRegistered_ = nodeEntry != entry->table.end();
   if (nodeRegistered_)
-    if (auto news = unpacked<NodeNews>(own->second)) nodeState_ = *news;
+    if (auto node = unpacked<NodeNews>(nodeEntry->second)) nodeState_ = *node;
 }
 
 void ServiceDirectory::readService(const ServiceName& name, const UpdateStore::TopicState& entry) {
@@ -95,12 +95,12 @@
 ServiceDirectory::KindView ServiceDirectory::kind(const KindName& name) const {
   auto found = fleetPlan_.kinds.find(name);
   if (found == fleetPlan_.kinds.end()) return {nullptr, nullptr, "unknown kind of work"};
-  const auto* own = service(found->second);
-  if (!own || !own->plan || !own->plan->kinds.contains(name)) return {nullptr, nullptr, "no news of the service yet"};
-  const auto& kind = own->plan->kinds.at(name);
+  const auto* view = service(found->second);
+  if (!view || !view->plan || !view->plan->kinds.contains(name)) return {nullptr, nullptr, "no news of the service yet"};
+  const auto& kind = view->plan->kinds.at(name);
   if (!std::includes(nodeState_.labels.begin(), nodeState_.labels.end(), kind.machines.begin(), kind.machines.end()))
     return {nullptr, nullptr, "this machine is not selected for the kind"};
-  return {&kind, own, {}};
+  return {&kind, view, {}};
 }
 
 const ServiceDirectory::ServiceView* ServiceDirectory::service(const ServiceName& name) const {
@@ -109,25 +109,25 @@
 }
 
 std::optional<Instant> ServiceDirectory::leaseUntil(const ServiceName& name) const {
-  auto own = feed_.leaseUntil(name.get());
-  auto fleet = feed_.leaseUntil(fleetTopic);
-  if (!own || !fleet) return std::nullopt;
-  return std::min(*own, *fleet);
+  auto serviceUntil = feed_.leaseUntil(name.get());
+  auto fleetUntil = feed_.leaseUntil(fleetTopic);
+  if (!serviceUntil || !fleetUntil) return std::nullopt;
+  return std::min(*serviceUntil, *fleetUntil);
 }
 
 bool ServiceDirectory::routesKnown() const {
   if (!anyLease() || fleetPlan_.mark == PlanMark{}) return false;
   return std::all_of(fleetPlan_.kinds.begin(), fleetPlan_.kinds.end(), [this](const auto& each) {
-    const auto* own = service(each.second);
-    return own && own->plan && own->plan->mark >= fleetPlan_.mark && own->plan->kinds.contains(each.first) && leased(each.second);
+    const auto* view = service(each.second);
+    return view && view->plan && view->plan->mark >= fleetPlan_.mark && view->plan->kinds.contains(each.first) && leased(each.second);
   });
 }
 
 bool ServiceDirectory::servicesKnown() const {
   if (!anyLease() || fleetPlan_.mark == PlanMark{}) return false;
   return std::all_of(fleetPlan_.kinds.begin(), fleetPlan_.kinds.end(), [this](const auto& each) {
-    const auto* own = service(each.second);
-    return own && own->plan && leased(each.second);
+    const auto* view = service(each.second);
+    return view && view->plan && leased(each.second);
   });
 }
 
--- a/src/updates/agent_node.cpp
+++ b/src/updates/agent_node.cpp
@@ -73,8 +73,8 @@
 
 std::vector<Address> AgentNode::sources(const Topic& topic) const {
   // snapshots come from the replicas: the link of a relay has no capacity for them
-  auto own = isRelay() ? std::nullopt : std::optional{settings_.address};
-  bool needsSnapshot = updates().completeMark(topic, own) == 0;
+  auto onlyNode = isRelay() ? std::nullopt : std::optional{settings_.address};
+  bool needsSnapshot = updates().completeMark(topic, onlyNode) == 0;
   auto sources = needsSnapshot ? std::vector<Address>{} : relays().relaysFor(topic, settings_.address);
   std::vector<Address> replicas(replicas_.begin(), replicas_.end());
   if (!replicas.empty())
@@ -144,10 +144,10 @@
   json["address"] = settings_.address.get();
   json["zone"] = settings_.zone.get();
   for (const auto& [topic, followed] : follower_.topics()) {
-    auto& own = json["topics"][topic];
-    own = {{"mark", updates().mark(topic)}, {"source", followed.source.get()}};
+    auto& topicStatus = json["topics"][topic];
+    topicStatus = {{"mark", updates().mark(topic)}, {"source", followed.source.get()}};
     if (followed.leaseUntil && *followed.leaseUntil > clock_.now())
-      own["lease_ms"] = milliseconds(*followed.leaseUntil - clock_.now()).count();
+      topicStatus["lease_ms"] = milliseconds(*followed.leaseUntil - clock_.now()).count();
   }
   return json;
 }
--- a/src/updates/report_tracker.cpp
+++ b/src/updates/report_tracker.cpp
@@ -12,10 +12,10 @@
                         return !report.services.contains(each.first);
                       }) > 0)
     sent_.clear();
-  for (auto& [service, own] : report.services) {
-    auto [before, fresh] = services.try_emplace(service, own);
-    if (!fresh && before->second == own) continue;
-    before->second = std::move(own);
+  for (auto& [service, serviceReport] : report.services) {
+    auto [before, inserted] = services.try_emplace(service, serviceReport);
+    if (!inserted && before->second == serviceReport) continue;
+    before->second = std::move(serviceReport);
     changedBy_[service] = number;
   }
   std::erase_if(changedBy_, [&](const auto& each) {
@@ -31,18 +31,18 @@
 }
 
 const std::string& ReportTracker::nextMessage(const Address& replica, Instant now) {
-  auto [sent, fresh] = sent_.try_emplace(replica);
-  auto& own = sent->second;
-  bool whole = fresh || now - own.wholeAt > wholeInterval_;
-  auto after = whole ? 0 : own.number;
-  if (whole) own.wholeAt = now;
-  own.number = last_.number;
+  auto [sent, inserted] = sent_.try_emplace(replica);
+  auto& lastSent = sent->second;
+  bool whole = inserted || now - lastSent.wholeAt > wholeInterval_;
+  auto after = whole ? 0 : lastSent.number;
+  if (whole) lastSent.wholeAt = now;
+  lastSent.number = last_.number;
   return encodedSince(after);
 }
 
 const std::string& ReportTracker::encodedSince(std::uint64_t number) {
-  auto [bytes, fresh] = encoded_.try_emplace(number);
-  if (!fresh) return bytes->second;
+  auto [bytes, inserted] = encoded_.try_emplace(number);
+  if (!inserted) return bytes->second;
   if (number == 0) return bytes->second = packed(last_);
   NodeReport report{last_.node, last_.zone, last_.boot, last_.draining, last_.mark, last_.lease, {}, false, last_.number, number};
   for (const auto& [service, changedBy] : changedBy_)
--- a/src/updates/update_follower.cpp
+++ b/src/updates/update_follower.cpp
@@ -181,6 +181,7 @@
     auto reply = bytes ? unpacked<FollowReply>(*bytes) : std::nullopt;
     if (reply && reply->fromReplica) coreRepliedAt_ = clock_.now();
     rememberedRequests_.erase(source);
+    // the source does not remember the request that this one builds on: the next one names all topics
     if (reply && reply->number == 0 && request.base != 0) continue;
     bool remembers = reply && reply->number == request.number;
     bool failed = false;
@@ -188,12 +189,12 @@
     for (const auto& [topic, mark] : marks) {
       if (!topics_.contains(topic)) continue;
       if (reply) {
-        auto at = requestedAt + std::min(reply->heldFor, clock_.now() - requestedAt);
+        auto sourceRepliedAt = requestedAt + std::min(reply->heldFor, clock_.now() - requestedAt);
         auto topicReply = reply->topics.find(topic);
         auto before = store_.mark(topic);
         if (topicReply != reply->topics.end() ? store_.apply(topic, topicReply->second, request.onlyNode) : remembers) {
           if (store_.mark(topic) != before) changed_.open();
-          recordReply(topic, source, at,
+          recordReply(topic, source, sourceRepliedAt,
                       topicReply != reply->topics.end()
                           ? std::move(topicReply->second)
                           : TopicReply{FollowResult::changes, mark, {}, {}, reply->lease, {}, reply->position, {}});
@@ -211,7 +212,7 @@
   }
 }
 
-void UpdateFollower::recordReply(const Topic& topic, const Address& source, Instant at, TopicReply reply) {
+void UpdateFollower::recordReply(const Topic& topic, const Address& source, Instant sourceRepliedAt, TopicReply reply) {
   auto& followed = topics_[topic];
   bool leaseHadEnded = !leaseUntil(topic);
   followed.failedSources.clear();
@@ -220,14 +221,15 @@
     followed.source = source;
     journal_.line("topic " + topic + ": updates now come from " + source.get());
   }
-  bool withinBound = reply.lease <= timings_.maxLease && at <= clock_.now();
+  bool withinBound = reply.lease <= timings_.maxLease && sourceRepliedAt <= clock_.now();
   journal_.check(Invariant::leaseFromQuestion, withinBound, [&] {
-    return "lease of " + std::to_string(milliseconds(reply.lease).count()) + " ms for " + topic + " from " + source.get();
+    return "lease of " + std::to_string(milliseconds(reply.lease).count()) + " ms for topic " + topic + " from " + source.get() +
+           "; the bound is " + std::to_string(milliseconds(timings_.maxLease).count()) + " ms";
   });
-  followed.leaseUntil = std::max(followed.leaseUntil.value_or(Instant::min()), at + std::min(reply.lease, timings_.maxLease));
+  followed.leaseUntil = std::max(followed.leaseUntil.value_or(Instant::min()), sourceRepliedAt + std::min(reply.lease, timings_.maxLease));
   if (!reply.databaseReports.empty()) {
     followed.databaseReports = std::move(reply.databaseReports);
-    followed.reportsAt = at;
+    followed.reportsAt = sourceRepliedAt;
   }
   followed.lastReplyAt = clock_.now();
   followed.position = std::max(followed.position, reply.position);
--- a/src/updates/update_follower.hpp
+++ b/src/updates/update_follower.hpp
@@ -67,7 +67,9 @@
   FollowRequest makeRequest(const Address& source, const Marks& marks, std::optional<Address> onlyNode);
   /// Starts a request loop at each source that topics have moved to; it replaces the loop that runs there.
   void startRequestLoops();
-  void recordReply(const Topic& topic, const Address& source, Instant at, TopicReply reply);
+  /// Takes a reply whose lease counts from `sourceRepliedAt`, the earliest time at which the source can have written it.
+  void recordReply(const Topic& topic, const Address& source, Instant sourceRepliedAt, TopicReply reply);
+  /// Moves the topic to another source, if it is still followed at this one.
   void recordFailure(const Topic& topic, const Address& source);
   /// The last numbered request that a source replied to and remembers, which the next one can build on.
   struct RememberedRequest {
--- a/src/updates/update_server.cpp
+++ b/src/updates/update_server.cpp
@@ -61,17 +61,17 @@
     });
     known = followers_.try_emplace(from).first;
   }
-  auto& own = known->second;
-  own.number = request.number;
-  own.lastRequestAt = clock_.now();
+  auto& state = known->second;
+  state.number = request.number;
+  state.lastRequestAt = clock_.now();
   if (request.base == 0) {
-    own.marks = std::make_shared<const Marks>(std::move(request.knownMarks));
+    state.marks = std::make_shared<const Marks>(std::move(request.knownMarks));
   } else if (!request.knownMarks.empty()) {
-    auto marks = *own.marks;
+    auto marks = *state.marks;
     for (const auto& [topic, mark] : request.knownMarks) marks[topic] = mark;
-    own.marks = std::make_shared<const Marks>(std::move(marks));
+    state.marks = std::make_shared<const Marks>(std::move(marks));
   }
-  return own.marks;
+  return state.marks;
 }
 
 bool UpdateServer::maySendLargeSnapshots(const Address& from) const {
@@ -84,15 +84,15 @@
   reply.number = request.number;
   reply.fromReplica = source_.isReplica();
   for (const auto& [topic, mark] : marks) {
-    auto& own = reply.topics[topic];
+    auto& topicReply = reply.topics[topic];
     auto until = source_.leaseUntil(topic);
     if (!until || *until <= clock_.now() || !store_.find(topic) || !source_.sourceResponsive(topic)) continue;
     if (!maySendLargeSnapshots(from) && store_.needsLargeSnapshot(topic, mark, maxSnapshotBytesFromNode)) continue;
-    store_.fillReply(topic, mark, own, request.onlyNode);
-    own.lease = *until - clock_.now();
+    store_.fillReply(topic, mark, topicReply, request.onlyNode);
+    topicReply.lease = *until - clock_.now();
     if (request.databaseReports && (request.number == 0 || request.reportTopics.contains(topic)))
-      own.databaseReports = source_.databaseReports(topic);
-    own.position = source_.position(topic);
+      topicReply.databaseReports = source_.databaseReports(topic);
+    topicReply.position = source_.position(topic);
   }
   if (request.number != 0) omitUnchangedTopics(reply, marks);
   return reply;
@@ -100,15 +100,15 @@
 
 void UpdateServer::omitUnchangedTopics(FollowReply& reply, const Marks& marks) {
   Duration longest{};
-  for (const auto& [topic, own] : reply.topics)
-    if (unchanged(own, marks.at(topic))) longest = std::max(longest, own.lease);
+  for (const auto& [topic, topicReply] : reply.topics)
+    if (unchanged(topicReply, marks.at(topic))) longest = std::max(longest, topicReply.lease);
   reply.lease = longest;
   std::optional<std::uint64_t> position;
   std::erase_if(reply.topics, [&](const auto& each) {
-    const auto& own = each.second;
-    if (!unchanged(own, marks.at(each.first)) || own.lease + maxLeaseSpread < longest) return false;
-    reply.lease = std::min(reply.lease, own.lease);
-    position = std::min(position.value_or(own.position), own.position);
+    const auto& topicReply = each.second;
+    if (!unchanged(topicReply, marks.at(each.first)) || topicReply.lease + maxLeaseSpread < longest) return false;
+    reply.lease = std::min(reply.lease, topicReply.lease);
+    position = std::min(position.value_or(topicReply.position), topicReply.position);
     return true;
   });
   reply.position = position.value_or(0);
--- a/src/updates/update_server.hpp
+++ b/src/updates/update_server.hpp
@@ -23,7 +23,7 @@
     std::shared_ptr<const Marks> marks;
     Instant lastRequestAt{};
   };
-  /// A follower that asked for nothing for this long is forgotten.
+  /// A follower without a request for this long is forgotten.
   static constexpr Duration followerStateMaxAge = 10s;
   /// How often a held request checks whether a lease that is short or missing has been renewed.
   static constexpr Duration leasePollInterval = 20ms;
--- a/tests/client_test.cpp
+++ b/tests/client_test.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-struct ClientTrial : FleetTrial {
-  ClientTrial() : FleetTrial(machines(2)) {}
-  DoorReply kept(const std::string& door, DoorKeeper& keeper, const std::string& call, const client::Request& request) {
+struct ClientFixture : FleetTrial {
+  ClientFixture() : FleetTrial(machines(2)) {}
+  DoorReply checkedReply(const std::string& door, DoorKeeper& keeper, const std::string& call, const client::Request& request) {
     auto reply = ask(keeper, DoorRequest{request.method, request.path, request.body, ConnectionId{7}});
     INFO(door << " " << request.method << " " << request.path << " -> " << reply.status << " " << reply.body);
     CHECK(check.faults(door, call, reply) == std::vector<std::string>{});
@@ -61,23 +61,25 @@
 
 }  // namespace
 
-TEST_CASE("the client's plans and heartbeats are what the doors read") {
-  ClientTrial trial;
+TEST_CASE("generated client: plans and heartbeats are accepted by the endpoints") {
+  ClientFixture fixture;
   using namespace client;
-  auto plan = trial.plan(1);
-  CHECK(trial.check.faults("Plan", Json(plan)).empty());
-  auto early = trial.body<Refusal>(trial.kept("replica", trial.replica(), "plan", replica::plan()), 404);
+  auto plan = fixture.plan(1);
+  CHECK(fixture.check.faults("Plan", Json(plan)).empty());
+  auto early = fixture.body<Refusal>(fixture.checkedReply("replica", fixture.replica(), "plan", replica::plan()), 404);
   CHECK(early.reason == "no plan is held yet");
-  auto held = trial.body<PlanHeld>(trial.kept("replica", trial.replica(), "replacePlan", replica::replacePlan(plan)), 200);
+  auto held = fixture.body<PlanHeld>(fixture.checkedReply("replica", fixture.replica(), "replacePlan", replica::replacePlan(plan)), 200);
   CHECK(held.mark == 1);
-  auto given = trial.body<client::Plan>(trial.kept("replica", trial.replica(1), "plan", replica::plan()), 200);
+  auto given = fixture.body<client::Plan>(fixture.checkedReply("replica", fixture.replica(1), "plan", replica::plan()), 200);
   CHECK(Json(given) == Json(plan));
   plan.kinds.begin()->second.order = 7;
-  auto older = trial.body<PlanNotNewer>(trial.kept("replica", trial.replica(), "replacePlan", replica::replacePlan(plan)), 409);
+  auto older =
+      fixture.body<PlanNotNewer>(fixture.checkedReply("replica", fixture.replica(), "replacePlan", replica::replacePlan(plan)), 409);
   CHECK(older.mark == 1);
   plan.mark = 2;
   plan.kinds.begin()->second.service = "unheard-of";
-  auto broken = trial.body<PlanBroken>(trial.kept("replica", trial.replica(), "replacePlan", replica::replacePlan(plan)), 400);
+  auto broken =
+      fixture.body<PlanBroken>(fixture.checkedReply("replica", fixture.replica(), "replacePlan", replica::replacePlan(plan)), 400);
   REQUIRE(broken.faults.size() == 1);
   CHECK(broken.faults[0].path.starts_with("kinds."));
 
@@ -86,29 +88,31 @@
   auto read = heartbeatFromJson(Json(sent).dump());
   REQUIRE(read);
   CHECK(read->contactAge == 250ms);
-  trial.body<Empty>(trial.kept("replica", trial.replica(), "heartbeat", replica::heartbeat(sent)), 200);
-  trial.body<Empty>(trial.kept("agent", trial.agent(), "heartbeat", agent::heartbeat(sent)), 200);
+  fixture.body<Empty>(fixture.checkedReply("replica", fixture.replica(), "heartbeat", replica::heartbeat(sent)), 200);
+  fixture.body<Empty>(fixture.checkedReply("agent", fixture.agent(), "heartbeat", agent::heartbeat(sent)), 200);
   sent.service = "unheard-of";
-  trial.body<Refusal>(trial.kept("replica", trial.replica(), "heartbeat", replica::heartbeat(sent)), 404);
-  trial.body<Refusal>(trial.kept("replica", trial.replica(), "detach", replica::detach(sent)), 404);
+  fixture.body<Refusal>(fixture.checkedReply("replica", fixture.replica(), "heartbeat", replica::heartbeat(sent)), 404);
+  fixture.body<Refusal>(fixture.checkedReply("replica", fixture.replica(), "detach", replica::detach(sent)), 404);
   sent.role = "king";
-  trial.body<Refusal>(trial.kept("agent", trial.agent(), "heartbeat", agent::heartbeat(sent)), 400);
-  trial.body<Refusal>(trial.kept("replica", trial.replica(), "removeMember", replica::removeMember("10.9.9.9:1")), 404);
+  fixture.body<Refusal>(fixture.checkedReply("agent", fixture.agent(), "heartbeat", agent::heartbeat(sent)), 400);
+  fixture.body<Refusal>(fixture.checkedReply("replica", fixture.replica(), "removeMember", replica::removeMember("10.9.9.9:1")), 404);
 }
 
-TEST_CASE("the client's sessions run at the proxy's door") {
-  ClientTrial trial;
+TEST_CASE("generated client: sessions run at the proxy's endpoint") {
+  ClientFixture fixture;
   using namespace client;
-  CHECK(trial.body<Refusal>(trial.kept("proxy", trial.proxy(), "ready", proxy::ready()), 503).comeBackMs > 0u);
-  trial.kept("replica", trial.replica(), "replacePlan", replica::replacePlan(trial.plan(1)));
-  trial.fleet.run(4s);
-  trial.body<Empty>(trial.kept("proxy", trial.proxy(), "ready", proxy::ready()), 200);
+  CHECK(fixture.body<Refusal>(fixture.checkedReply("proxy", fixture.proxy(), "ready", proxy::ready()), 503).comeBackMs > 0u);
+  fixture.checkedReply("replica", fixture.replica(), "replacePlan", replica::replacePlan(fixture.plan(1)));
+  fixture.fleet.run(4s);
+  fixture.body<Empty>(fixture.checkedReply("proxy", fixture.proxy(), "ready", proxy::ready()), 200);
   auto open = [&] {
-    return trial.body<OpenedSession>(trial.kept("proxy", trial.proxy(), "openSession", proxy::openSession({"counter1", {}})), 201).session;
+    return fixture
+        .body<OpenedSession>(fixture.checkedReply("proxy", fixture.proxy(), "openSession", proxy::openSession({"counter1", {}})), 201)
+        .session;
   };
   auto run = [&](const std::string& session, const Run& asked, int status = 200) {
-    CHECK(trial.check.faults("Run", Json(asked)).empty());
-    return trial.body<RunReply>(trial.kept("proxy", trial.proxy(), "run", proxy::run(session, asked)), status);
+    CHECK(fixture.check.faults("Run", Json(asked)).empty());
+    return fixture.body<RunReply>(fixture.checkedReply("proxy", fixture.proxy(), "run", proxy::run(session, asked)), status);
   };
   auto session = open();
   CHECK(run(session, statement("put a 1")).outcome == "done");
@@ -126,55 +130,56 @@
   executed.name = "put";
   executed.parameters = {Json("b"), Json(nullptr)};
   run(session, executed);
-  trial.body<Refusal>(trial.kept("proxy", trial.proxy(), "run", proxy::run(session, statement(std::string(2 << 20, 'x')))), 413);
-  trial.body<Refusal>(trial.kept("proxy", trial.proxy(), "run", proxy::run(session, operation("dance"))), 400);
+  fixture.body<Refusal>(fixture.checkedReply("proxy", fixture.proxy(), "run", proxy::run(session, statement(std::string(2 << 20, 'x')))),
+                        413);
+  fixture.body<Refusal>(fixture.checkedReply("proxy", fixture.proxy(), "run", proxy::run(session, operation("dance"))), 400);
   CHECK(run(session, operation("commit"), 409).outcome == "refused");
   run(session, operation("begin"));
-  trial.proxy().gone(ConnectionId{7});
-  trial.fleet.run(200ms);
+  fixture.proxy().gone(ConnectionId{7});
+  fixture.fleet.run(200ms);
   CHECK(run(session, operation("commit"), 410).outcome == "lost");
   auto other = open();
-  trial.body<Empty>(trial.kept("proxy", trial.proxy(), "closeSession", proxy::closeSession(other)), 200);
-  trial.body<Refusal>(trial.kept("proxy", trial.proxy(), "run", proxy::run(other, statement("get a", true))), 404);
-  trial.body<Refusal>(trial.kept("proxy", trial.proxy(), "openSession", proxy::openSession({"unheard-of", {}})), 403);
+  fixture.body<Empty>(fixture.checkedReply("proxy", fixture.proxy(), "closeSession", proxy::closeSession(other)), 200);
+  fixture.body<Refusal>(fixture.checkedReply("proxy", fixture.proxy(), "run", proxy::run(other, statement("get a", true))), 404);
+  fixture.body<Refusal>(fixture.checkedReply("proxy", fixture.proxy(), "openSession", proxy::openSession({"unheard-of", {}})), 403);
   OpenSession after{"counter1", std::map<std::string, std::uint64_t>{{"s1", 1}}};
-  trial.body<OpenedSession>(trial.kept("proxy", trial.proxy(), "openSession", proxy::openSession(after)), 201);
+  fixture.body<OpenedSession>(fixture.checkedReply("proxy", fixture.proxy(), "openSession", proxy::openSession(after)), 201);
 }
 
-TEST_CASE("what the doors show stays within the schema, from the start and through a lost machine and a lost primary") {
-  ClientTrial trial;
+TEST_CASE("schema: replies of all endpoints conform, from the start and through the loss of a machine and of a primary") {
+  ClientFixture fixture;
   using namespace client;
   auto look = [&] {
     for (std::size_t index = 0; index < 3; ++index) {
-      trial.body<ReplicaStatus>(trial.kept("replica", trial.replica(index), "status", replica::status()), 200);
-      trial.body<Counters>(trial.kept("replica", trial.replica(index), "counters", replica::counters()), 200);
-      trial.kept("replica", trial.replica(index), "ready", replica::ready());
+      fixture.body<ReplicaStatus>(fixture.checkedReply("replica", fixture.replica(index), "status", replica::status()), 200);
+      fixture.body<Counters>(fixture.checkedReply("replica", fixture.replica(index), "counters", replica::counters()), 200);
+      fixture.checkedReply("replica", fixture.replica(index), "ready", replica::ready());
     }
-    trial.body<ProxyStatus>(trial.kept("proxy", trial.proxy(), "status", proxy::status()), 200);
-    trial.body<Counters>(trial.kept("proxy", trial.proxy(), "counters", proxy::counters()), 200);
-    trial.body<AgentStatus>(trial.kept("agent", trial.agent(), "status", agent::status()), 200);
-    trial.body<Counters>(trial.kept("agent", trial.agent(), "counters", agent::counters()), 200);
-    trial.kept("agent", trial.agent(), "ready", agent::ready());
+    fixture.body<ProxyStatus>(fixture.checkedReply("proxy", fixture.proxy(), "status", proxy::status()), 200);
+    fixture.body<Counters>(fixture.checkedReply("proxy", fixture.proxy(), "counters", proxy::counters()), 200);
+    fixture.body<AgentStatus>(fixture.checkedReply("agent", fixture.agent(), "status", agent::status()), 200);
+    fixture.body<Counters>(fixture.checkedReply("agent", fixture.agent(), "counters", agent::counters()), 200);
+    fixture.checkedReply("agent", fixture.agent(), "ready", agent::ready());
   };
   look();
-  trial.kept("replica", trial.replica(), "replacePlan", replica::replacePlan(trial.plan(1)));
+  fixture.checkedReply("replica", fixture.replica(), "replacePlan", replica::replacePlan(fixture.plan(1)));
   for (int step = 0; step < 20; ++step) {
-    trial.fleet.run(100ms);
+    fixture.fleet.run(100ms);
     look();
   }
-  const auto& lost = trial.fleet.machines()[1]->host;
-  for (const auto& other : trial.fleet.replicas()) {
-    trial.fleet.network().cut(lost, other->host);
-    trial.fleet.network().cut(other->host, lost);
+  const auto& lost = fixture.fleet.machines()[1]->host;
+  for (const auto& other : fixture.fleet.replicas()) {
+    fixture.fleet.network().cut(lost, other->host);
+    fixture.fleet.network().cut(other->host, lost);
   }
-  trial.fleet.crashDatabase(trial.fleet.database(1, 1));
+  fixture.fleet.crashDatabase(fixture.fleet.database(1, 1));
   for (int step = 0; step < 40; ++step) {
-    trial.fleet.run(100ms);
+    fixture.fleet.run(100ms);
     look();
   }
 }
 
-TEST_CASE("a reply that leaves the schema is noticed") {
+TEST_CASE("schema: a reply that does not conform is reported") {
   SchemaCheck check;
   auto faults = [&](const std::string& body, int status = 200) {
     return check.faults("proxy", "run", DoorReply{status, body, std::nullopt});
@@ -191,7 +196,7 @@
   CHECK(check.faults("replica", "counters", DoorReply{200, R"({"a":1.5})", std::nullopt}).size() == 1);
 }
 
-TEST_CASE("every body of the schema that a call names is there, and no body is without a call") {
+TEST_CASE("schema: every body that a call names is defined, and every defined body is used by a call") {
   SchemaCheck check;
   std::set<std::string> named;
   const auto& bodies = check.schema().at("$defs");
--- a/tests/journal_fixture.hpp
+++ b/tests/journal_fixture.hpp
@@ -4,14 +4,14 @@
 
 namespace tamarindshift {
 
-/// A journal of its own for a check, with the lines it told.
+/// A journal for one test, with the lines that it logged.
 struct JournalFixture {
   std::vector<std::string> lines;
   SimulatedJournal journal{"node", [this](const std::string& text) {
                              lines.push_back(text);
                            }};
 
-  /// Takes back the violations since the last call, which would fail the case otherwise, and says how many they were.
+  /// Removes the violations since the last call, which would otherwise fail the test case, and returns their number.
   std::size_t violations() { return SimulatedJournal::takeViolations().size(); }
   std::uint64_t violated(Invariant invariant) const { return journal.invariant(invariant).violated; }
   std::uint64_t checked(Invariant invariant) const { return journal.invariant(invariant).checked; }
--- a/tests/report_tracker_test.cpp
+++ b/tests/report_tracker_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 const Address replica{"10.0.0.1:1"};
-const Address other{"10.0.0.2:1"};
+const Address otherReplica{"10.0.0.2:1"};
 
 NodeReport reportOf(std::uint64_t boot, const std::map<std::string, std::uint64_t>& followed) {
   NodeReport report;
@@ -22,51 +22,51 @@
 
 }  // namespace
 
-TEST_CASE("a replica is told the whole report once and then what changed since it was last told") {
-  ReportTracker book(20s);
+TEST_CASE("report tracker: a replica gets the whole report once and then what changed since the last message") {
+  ReportTracker tracker(20s);
   Instant now{};
-  REQUIRE(book.record(reportOf(7, {{"s1", 1}, {"s2", 1}})));
-  auto first = unpacked<NodeReport>(book.nextMessage(replica, now));
+  REQUIRE(tracker.record(reportOf(7, {{"s1", 1}, {"s2", 1}})));
+  auto first = unpacked<NodeReport>(tracker.nextMessage(replica, now));
   CHECK(first->whole);
   CHECK(first->services.size() == 2);
-  REQUIRE(book.record(reportOf(7, {{"s1", 1}, {"s2", 1}})));
-  auto quiet = unpacked<NodeReport>(book.nextMessage(replica, now));
+  REQUIRE(tracker.record(reportOf(7, {{"s1", 1}, {"s2", 1}})));
+  auto quiet = unpacked<NodeReport>(tracker.nextMessage(replica, now));
   CHECK_FALSE(quiet->whole);
   CHECK(quiet->services.empty());
-  REQUIRE(book.record(reportOf(7, {{"s1", 1}, {"s2", 5}})));
-  REQUIRE(book.record(reportOf(7, {{"s1", 1}, {"s2", 5}})));
-  auto changed = unpacked<NodeReport>(book.nextMessage(replica, now));
+  REQUIRE(tracker.record(reportOf(7, {{"s1", 1}, {"s2", 5}})));
+  REQUIRE(tracker.record(reportOf(7, {{"s1", 1}, {"s2", 5}})));
+  auto changed = unpacked<NodeReport>(tracker.nextMessage(replica, now));
   CHECK(changed->after == quiet->number);
   CHECK(changed->services.size() == 1);
   CHECK(changed->services.at(ServiceName{"s2"}).followed == 5);
-  CHECK(unpacked<NodeReport>(book.nextMessage(other, now))->whole);
-  CHECK(unpacked<NodeReport>(book.nextMessage(replica, now + 21s))->whole);
+  CHECK(unpacked<NodeReport>(tracker.nextMessage(otherReplica, now))->whole);
+  CHECK(unpacked<NodeReport>(tracker.nextMessage(replica, now + 21s))->whole);
 }
 
-TEST_CASE("a report of a node that started again, or that leaves a service out, is told whole") {
-  ReportTracker book(20s);
+TEST_CASE("report tracker: the report after a restart, or with a service removed, is sent whole") {
+  ReportTracker tracker(20s);
   Instant now{};
-  REQUIRE(book.record(reportOf(7, {{"s1", 1}, {"s2", 1}})));
-  book.nextMessage(replica, now);
-  REQUIRE(book.record(reportOf(8, {{"s1", 1}, {"s2", 1}})));
-  CHECK(unpacked<NodeReport>(book.nextMessage(replica, now))->whole);
-  REQUIRE(book.record(reportOf(8, {{"s1", 1}})));
-  auto fewer = unpacked<NodeReport>(book.nextMessage(replica, now));
+  REQUIRE(tracker.record(reportOf(7, {{"s1", 1}, {"s2", 1}})));
+  tracker.nextMessage(replica, now);
+  REQUIRE(tracker.record(reportOf(8, {{"s1", 1}, {"s2", 1}})));
+  CHECK(unpacked<NodeReport>(tracker.nextMessage(replica, now))->whole);
+  REQUIRE(tracker.record(reportOf(8, {{"s1", 1}})));
+  auto fewer = unpacked<NodeReport>(tracker.nextMessage(replica, now));
   CHECK(fewer->whole);
   CHECK(fewer->services.size() == 1);
   auto partial = reportOf(9, {});
   partial.whole = false;
-  CHECK_FALSE(book.record(partial));
+  CHECK_FALSE(tracker.record(partial));
 }
 
-TEST_CASE("a replica that missed a report or started again asks for a whole one and holds what the node said last") {
+TEST_CASE("report tracker: a replica that missed a report or restarted asks for a whole one and has the node's last state") {
   for (unsigned seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
     std::mt19937 random(seed);
     auto below = [&](unsigned bound) {
       return static_cast<unsigned>(random() % bound);
     };
-    ReportTracker book(20s);
+    ReportTracker tracker(20s);
     auto access = std::make_unique<AccessTables>();
     Instant now{};
     std::uint64_t boot = 1;
@@ -77,14 +77,14 @@
       std::map<std::string, std::uint64_t> followed;
       for (unsigned service = 0; service < 4; ++service)
         if (below(20) != 0) followed["s" + std::to_string(service)] = below(3);
-      REQUIRE(book.record(reportOf(boot, followed)));
-      auto bytes = book.nextMessage(replica, now);
+      REQUIRE(tracker.record(reportOf(boot, followed)));
+      auto bytes = tracker.nextMessage(replica, now);
       if (below(10) == 0) continue;
       auto report = *unpacked<NodeReport>(bytes);
       if (access->misses(report)) {
         access->noteReport(report, now);
-        book.sendWholeNext(replica);
-        report = *unpacked<NodeReport>(book.nextMessage(replica, now));
+        tracker.sendWholeNext(replica);
+        report = *unpacked<NodeReport>(tracker.nextMessage(replica, now));
         CHECK(report.whole);
       }
       CHECK_FALSE(access->misses(report));
--- a/tests/update_restore_test.cpp
+++ b/tests/update_restore_test.cpp
@@ -8,37 +8,37 @@
 
 namespace {
 
-struct Replica {
-  Replica() : state(board) {}
-  void take(ControlMatter matter, std::string body) {
+struct RestoredReplica {
+  RestoredReplica() : state(store) {}
+  void applyHeld(ControlMatter matter, std::string body) {
     Action action;
     action.update = packed(ControlUpdate{matter, 0, std::move(body)});
     CHECK(state.applyGreen(action, ++position) == "held");
   }
-  void offer(ControlMatter matter, std::string body) {
+  void apply(ControlMatter matter, std::string body) {
     Action action;
     action.update = packed(ControlUpdate{matter, 0, std::move(body)});
     state.applyGreen(action, ++position);
   }
   void enrol(const std::string& node, std::uint64_t boot) {
-    take(ControlMatter::enrolNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
+    applyHeld(ControlMatter::enrolNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
   }
   void remove(const std::string& node, std::uint64_t boot) {
-    take(ControlMatter::removeNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
+    applyHeld(ControlMatter::removeNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
   }
   void drainOf(const std::string& node, std::uint64_t boot) {
-    take(ControlMatter::drainNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
+    applyHeld(ControlMatter::drainNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
   }
-  UpdateStore board;
+  UpdateStore store;
   ControlState state;
   std::uint64_t position = 0;
 };
 
-const std::string plan =
+const std::string planText =
     R"({"mark":1,"services":{"s1":{"discovery":"heartbeats","quota":{"connections":10,"branches":{"work":{"connections":10,"order":1}}}}},
 "kinds":{"k1":{"service":"s1","branch":"work","consistency":"primary"}}})";
 
-void follow(UpdateStore& follower, const UpdateStore& source, const Topic& topic) {
+void followOnce(UpdateStore& follower, const UpdateStore& source, const Topic& topic) {
   TopicReply reply;
   source.fillReply(topic, follower.mark(topic), reply);
   CHECK(reply.result != FollowResult::notCurrent);
@@ -47,52 +47,52 @@
 
 }  // namespace
 
-TEST_CASE("a replica restored from a snapshot has each topic's mark as the others have") {
-  Replica ordered;
-  ordered.take(ControlMatter::plan, packed(PlanUpdate{plan}));
+TEST_CASE("restore: a replica restored from a snapshot has the same version of each topic as the others") {
+  RestoredReplica ordered;
+  ordered.applyHeld(ControlMatter::plan, packed(PlanUpdate{planText}));
   ordered.enrol("10.0.0.1:1", 1);
   ordered.enrol("10.0.0.2:1", 2);
-  Replica restored;
+  RestoredReplica restored;
   REQUIRE(restored.state.restore(ordered.state.snapshot()));
-  for (const auto& [topic, entry] : ordered.board.topics()) {
+  for (const auto& [topic, entry] : ordered.store.topics()) {
     CAPTURE(topic);
-    CHECK(restored.board.mark(topic) == entry->mark);
+    CHECK(restored.store.mark(topic) == entry->mark);
   }
   UpdateStore follower;
-  follow(follower, restored.board, "s1");
-  follow(follower, ordered.board, "s1");
+  followOnce(follower, restored.store, "s1");
+  followOnce(follower, ordered.store, "s1");
 }
 
-TEST_CASE("a follower that is older than a restored replica loses what was removed before") {
-  Replica ordered;
-  ordered.take(ControlMatter::plan, packed(PlanUpdate{plan}));
+TEST_CASE("restore: a follower older than the restored replica drops what was removed before") {
+  RestoredReplica ordered;
+  ordered.applyHeld(ControlMatter::plan, packed(PlanUpdate{planText}));
   ordered.enrol("10.0.0.1:1", 1);
   ordered.enrol("10.0.0.2:1", 2);
   UpdateStore follower;
-  follow(follower, ordered.board, fleetTopic);
+  followOnce(follower, ordered.store, fleetTopic);
   REQUIRE(follower.find(fleetTopic)->table.contains("node/10.0.0.2:1"));
   ordered.remove("10.0.0.2:1", 2);
   ordered.drainOf("10.0.0.1:1", 1);
-  Replica restored;
+  RestoredReplica restored;
   REQUIRE(restored.state.restore(ordered.state.snapshot()));
-  follow(follower, restored.board, fleetTopic);
+  followOnce(follower, restored.store, fleetTopic);
   CHECK_FALSE(follower.find(fleetTopic)->table.contains("node/10.0.0.2:1"));
-  CHECK(follower.find(fleetTopic)->table == ordered.board.find(fleetTopic)->table);
+  CHECK(follower.find(fleetTopic)->table == ordered.store.find(fleetTopic)->table);
 }
 
-TEST_CASE("a replica that is brought up by a snapshot while it runs forgets what was removed") {
-  Replica ordered;
-  ordered.take(ControlMatter::plan, packed(PlanUpdate{plan}));
+TEST_CASE("restore: a snapshot that a running replica catches up by drops what was removed") {
+  RestoredReplica ordered;
+  ordered.applyHeld(ControlMatter::plan, packed(PlanUpdate{planText}));
   ordered.enrol("10.0.0.1:1", 1);
-  Replica late;
+  RestoredReplica late;
   REQUIRE(late.state.restore(ordered.state.snapshot()));
   ordered.remove("10.0.0.1:1", 1);
   REQUIRE(late.state.restore(ordered.state.snapshot()));
-  CHECK(late.board.find(fleetTopic)->table == ordered.board.find(fleetTopic)->table);
-  CHECK(late.board.mark(fleetTopic) == ordered.board.mark(fleetTopic));
+  CHECK(late.store.find(fleetTopic)->table == ordered.store.find(fleetTopic)->table);
+  CHECK(late.store.mark(fleetTopic) == ordered.store.mark(fleetTopic));
 }
 
-TEST_CASE("only topics that an action touched are laid anew, and they stand as if all were") {
+TEST_CASE("restore: rebuilding only the topics that an action touched gives the same tables as rebuilding all") {
   auto planOf = [](std::uint64_t mark, int services) {
     std::string text = "{\"mark\":" + std::to_string(mark) + ",\"services\":{";
     std::string kinds;
@@ -111,7 +111,7 @@
     auto below = [&](unsigned bound) {
       return static_cast<unsigned>(random() % bound);
     };
-    Replica replica;
+    RestoredReplica replica;
     std::uint64_t mark = 0;
     for (int step = 0; step < 120; ++step) {
       ServiceName service{"s" + std::to_string(1 + below(3))};
@@ -120,50 +120,50 @@
       auto held = replica.state.services().find(service);
       auto epoch = held == replica.state.services().end() ? Epoch{} : held->second.epoch;
       auto basis = held == replica.state.services().end() ? 0 : held->second.sharesAt;
-      auto before = replica.board.mark(service.get());
-      auto other = replica.board.mark(service == ServiceName{"s1"} ? "s2" : "s1");
+      auto before = replica.store.mark(service.get());
+      auto other = replica.store.mark(service == ServiceName{"s1"} ? "s2" : "s1");
       switch (below(9)) {
         case 0:
-          replica.offer(ControlMatter::plan, packed(PlanUpdate{planOf(++mark, 1 + static_cast<int>(below(3)))}));
+          replica.apply(ControlMatter::plan, packed(PlanUpdate{planOf(++mark, 1 + static_cast<int>(below(3)))}));
           break;
         case 1:
-          replica.offer(ControlMatter::enrolNode, packed(NodeUpdate{node, Zone{"z1"}, below(3)}));
+          replica.apply(ControlMatter::enrolNode, packed(NodeUpdate{node, Zone{"z1"}, below(3)}));
           break;
         case 2:
-          replica.offer(below(2) ? ControlMatter::drainNode : ControlMatter::removeNode, packed(NodeUpdate{node, Zone{"z1"}, below(3)}));
+          replica.apply(below(2) ? ControlMatter::drainNode : ControlMatter::removeNode, packed(NodeUpdate{node, Zone{"z1"}, below(3)}));
           break;
         case 3:
-          replica.offer(ControlMatter::enrolDatabase,
+          replica.apply(ControlMatter::enrolDatabase,
                         packed(EnrolmentUpdate{service, database, Address{"10.2.0." + std::to_string(below(4)) + ":1"}, Zone{"z1"}, 5, 1, 1,
                                                "replica"}));
           break;
         case 4:
-          replica.offer(ControlMatter::removeDatabase, packed(DatabaseUpdate{service, database, 1, 1, true}));
+          replica.apply(ControlMatter::removeDatabase, packed(DatabaseUpdate{service, database, 1, 1, true}));
           break;
         case 5:
-          replica.offer(below(2) ? ControlMatter::drainDatabase : ControlMatter::returnDatabase,
+          replica.apply(below(2) ? ControlMatter::drainDatabase : ControlMatter::returnDatabase,
                         packed(DatabaseUpdate{service, database, 1, 1, below(2) == 0}));
           break;
         case 6:
-          replica.offer(ControlMatter::recovery, packed(RecoveryUpdate{service, epoch, database, "lost", false}));
+          replica.apply(ControlMatter::recovery, packed(RecoveryUpdate{service, epoch, database, "lost", false}));
           break;
         case 7:
-          replica.offer(ControlMatter::promoted, packed(PromotedUpdate{service, epoch}));
+          replica.apply(ControlMatter::promoted, packed(PromotedUpdate{service, epoch}));
           break;
         case 8: {
-          replica.offer(ControlMatter::shares, packed(SharesUpdate{service, basis, {{node, {{BranchName{"work"}, below(11)}}}}, {}}));
-          CHECK(replica.board.mark(service == ServiceName{"s1"} ? "s2" : "s1") == other);
-          CHECK(replica.board.mark(service.get()) >= before);
+          replica.apply(ControlMatter::shares, packed(SharesUpdate{service, basis, {{node, {{BranchName{"work"}, below(11)}}}}, {}}));
+          CHECK(replica.store.mark(service == ServiceName{"s1"} ? "s2" : "s1") == other);
+          CHECK(replica.store.mark(service.get()) >= before);
           break;
         }
       }
-      Replica anew;
+      RestoredReplica anew;
       REQUIRE(anew.state.restore(replica.state.snapshot()));
-      for (const auto& [topic, entry] : replica.board.topics()) {
+      for (const auto& [topic, entry] : replica.store.topics()) {
         CAPTURE(step, topic);
-        REQUIRE(anew.board.find(topic));
-        CHECK(anew.board.find(topic)->table == entry->table);
-        CHECK(anew.board.mark(topic) == entry->mark);
+        REQUIRE(anew.store.find(topic));
+        CHECK(anew.store.find(topic)->table == entry->table);
+        CHECK(anew.store.mark(topic) == entry->mark);
       }
     }
   }
--- a/tests/update_server_test.cpp
+++ b/tests/update_server_test.cpp
@@ -12,91 +12,91 @@
 
 namespace {
 
-constexpr std::size_t services = 40;
-const Address sourceAt{"10.0.0.1:1"};
+constexpr std::size_t serviceCount = 40;
+const Address sourceAddress{"10.0.0.1:1"};
 
-TopicTable planNews() {
+TopicTable planTable() {
   FleetPlanNews news;
   news.mark = PlanMark{1};
-  for (std::size_t number = 1; number <= services; ++number)
+  for (std::size_t number = 1; number <= serviceCount; ++number)
     news.kinds[KindName{"k" + std::to_string(number)}] = ServiceName{"s" + std::to_string(number)};
   TopicTable table;
   layPlan(table, news);
   return table;
 }
 
-// a source whose leases last for `lease`, and which may start again without its memory
-struct Source : UpdateSource {
-  Source(World& world, SimulatedNetwork& network) : clock(world), link(network, clock, sourceAt) { start(); }
+/// A source whose leases last for `lease`. `start` restarts it without what it remembers of followers.
+struct ServerSource : UpdateSource {
+  ServerSource(World& world, SimulatedNetwork& network) : clock(world), link(network, clock, sourceAddress) { start(); }
   void start() {
     desk.reset();
     desk = std::make_unique<Desk>(clock, link, static_cast<std::uint64_t>(clock.now().time_since_epoch().count()));
-    news = std::make_unique<UpdateServer>(clock, *desk, board, *this, 150ms);
+    server = std::make_unique<UpdateServer>(clock, *desk, store, *this, 150ms);
   }
   std::optional<Instant> leaseUntil(const Topic& topic) override {
-    if (without.contains(topic)) return std::nullopt;
-    return clock.now() + (shorter.contains(topic) ? lease / 2 : lease);
+    if (withoutLease.contains(topic)) return std::nullopt;
+    return clock.now() + (withHalfLease.contains(topic) ? lease / 2 : lease);
   }
   std::vector<DatabaseReport> databaseReports(const Topic& topic) override {
-    ++signsAsked;
+    ++reportsRead;
     return {DatabaseReport{"d1 of " + topic, "replica", 1, 1, 0ms, 0ms, false}};
   }
   bool isReplica() const override { return actsAsReplica; }
   std::uint64_t position(const Topic&) override { return at; }
   void publish(const Topic& topic, const std::string& key, const std::string& value) {
     tables[topic][key] = value;
-    board.publish(topic, ++at, tables[topic]);
+    store.publish(topic, ++at, tables[topic]);
   }
   SimulatedClock clock;
   SimulatedLink link;
   std::unique_ptr<Desk> desk;
-  UpdateStore board;
+  UpdateStore store;
   std::map<Topic, TopicTable> tables;
-  std::set<Topic> without;
-  std::set<Topic> shorter;
+  std::set<Topic> withoutLease;
+  std::set<Topic> withHalfLease;
   Duration lease = 1600ms;
   std::uint64_t at = 0;
   bool actsAsReplica = false;
-  std::size_t signsAsked = 0;
-  std::unique_ptr<UpdateServer> news;
+  std::size_t reportsRead = 0;
+  std::unique_ptr<UpdateServer> server;
 };
 
-struct Following {
-  explicit Following(std::uint64_t seed = 1, FollowTimings timings = FollowTimings{350ms, 50ms})
+struct ServerFixture {
+  explicit ServerFixture(std::uint64_t seed = 1, FollowTimings timings = FollowTimings{350ms, 50ms})
       : world(seed),
         network(world),
         source(world, network),
         clock(world),
         link(network, clock, Address{"10.1.0.1:1"}),
-        counted(link, traffic,
+        metered(link, traffic,
                 [](const Address&) {
                   return "source";
                 }),
-        desk(clock, counted, 1),
+        desk(clock, metered, 1),
         journal("node", [](const std::string&) {}),
         follower(
             clock, desk, journal,
             [](const Topic&) {
-              return std::vector{sourceAt};
+              return std::vector{sourceAddress};
             },
             timings) {
-    source.tables[fleetTopic] = planNews();
-    source.board.publish(fleetTopic, ++source.at, source.tables[fleetTopic]);
+    source.tables[fleetTopic] = planTable();
+    source.store.publish(fleetTopic, ++source.at, source.tables[fleetTopic]);
     for (const auto& topic : topics()) source.publish(topic, "a", "1");
   }
   static std::vector<Topic> topics() {
     std::vector<Topic> topics;
-    for (std::size_t number = 1; number <= services; ++number) topics.push_back("s" + std::to_string(number));
+    for (std::size_t number = 1; number <= serviceCount; ++number) topics.push_back("s" + std::to_string(number));
     return topics;
   }
   void run(Duration duration) { world.runUntil(world.now() + duration); }
   World world;
   SimulatedNetwork network;
-  Source source;
+  ServerSource source;
   SimulatedClock clock;
   SimulatedLink link;
   Traffic traffic;
-  MeteredLink counted;
+  MeteredLink metered;
   Desk desk;
   SimulatedJournal journal;
   UpdateFollower follower;
@@ -104,156 +104,156 @@
 
 }  // namespace
 
-TEST_CASE("when nothing is new an ask and its reply are as small for many topics as for one, and leases go on") {
-  Following following;
-  following.run(2s);
-  auto before = following.traffic;
-  following.run(10s);
-  auto traffic = following.traffic - before;
+TEST_CASE("update server: requests and replies without changes are small for many topics, and leases are renewed") {
+  ServerFixture fixture;
+  fixture.run(2s);
+  auto before = fixture.traffic;
+  fixture.run(10s);
+  auto traffic = fixture.traffic - before;
   CHECK(traffic.out["source/follow"].messages >= 60);
   CHECK(traffic.out["source/follow"].bytes < 64 * traffic.out["source/follow"].messages);
   CHECK(traffic.in["source/reply"].bytes < 64 * traffic.in["source/reply"].messages);
-  CHECK(following.source.signsAsked == 0);
-  for (const auto& topic : Following::topics()) {
-    REQUIRE(following.follower.leaseUntil(topic));
-    CHECK(*following.follower.leaseUntil(topic) > following.clock.now() + 1600ms - 180ms);
-    CHECK(following.follower.position(topic) == following.source.at);
+  CHECK(fixture.source.reportsRead == 0);
+  for (const auto& topic : ServerFixture::topics()) {
+    REQUIRE(fixture.follower.leaseUntil(topic));
+    CHECK(*fixture.follower.leaseUntil(topic) > fixture.clock.now() + 1600ms - 180ms);
+    CHECK(fixture.follower.position(topic) == fixture.source.at);
   }
-  following.source.publish("s7", "a", "2");
-  following.run(10ms);
-  CHECK(following.follower.updates().find("s7")->table.at("a") == "2");
+  fixture.source.publish("s7", "a", "2");
+  fixture.run(10ms);
+  CHECK(fixture.follower.updates().find("s7")->table.at("a") == "2");
 }
 
-TEST_CASE("invariants: a source that gives a lease beyond its duration is noticed, and its lease is cut") {
+TEST_CASE("invariants: a lease longer than the bound is reported and cut to the bound") {
   FollowTimings timings{350ms, 50ms};
   timings.maxLease = 800ms;
-  Following following(1, timings);
-  following.run(2s);
+  ServerFixture fixture(1, timings);
+  fixture.run(2s);
   CHECK_FALSE(SimulatedJournal::takeViolations().empty());
-  CHECK(following.journal.invariant(Invariant::leaseFromQuestion).violated > 0);
-  for (const auto& topic : Following::topics()) {
-    REQUIRE(following.follower.leaseUntil(topic));
-    CHECK(*following.follower.leaseUntil(topic) <= following.clock.now() + 800ms);
+  CHECK(fixture.journal.invariant(Invariant::leaseFromQuestion).violated > 0);
+  for (const auto& topic : ServerFixture::topics()) {
+    REQUIRE(fixture.follower.leaseUntil(topic));
+    CHECK(*fixture.follower.leaseUntil(topic) <= fixture.clock.now() + 800ms);
   }
 }
 
-TEST_CASE("a lease that was short is passed on as soon as it is renewed") {
+TEST_CASE("update server: a short lease is passed on as soon as it is renewed") {
   for (auto wait : {0ms, 37ms, 80ms, 120ms}) {
-    Following following;
-    following.run(2s);
-    following.source.lease = 300ms;
-    following.run(2s + wait);
-    following.source.lease = 1600ms;
-    following.run(25ms);
-    CHECK(*following.follower.leaseUntil("s9") > following.clock.now() + 1500ms);
+    ServerFixture fixture;
+    fixture.run(2s);
+    fixture.source.lease = 300ms;
+    fixture.run(2s + wait);
+    fixture.source.lease = 1600ms;
+    fixture.run(25ms);
+    CHECK(*fixture.follower.leaseUntil("s9") > fixture.clock.now() + 1500ms);
   }
 }
 
-TEST_CASE("a replica without a lease answers as soon as it has one again") {
+TEST_CASE("update server: a replica without a lease replies as soon as it has one again") {
   for (auto wait : {0ms, 37ms, 80ms, 120ms}) {
-    Following following;
-    following.source.actsAsReplica = true;
-    following.run(2s);
-    for (const auto& topic : Following::topics()) following.source.without.insert(topic);
-    following.source.without.insert(fleetTopic);
-    following.run(3s + wait);
-    CHECK_FALSE(following.follower.leaseUntil("s9"));
-    following.source.without.clear();
-    following.run(180ms);
-    CHECK(following.follower.leaseUntil("s9"));
+    ServerFixture fixture;
+    fixture.source.actsAsReplica = true;
+    fixture.run(2s);
+    for (const auto& topic : ServerFixture::topics()) fixture.source.withoutLease.insert(topic);
+    fixture.source.withoutLease.insert(fleetTopic);
+    fixture.run(3s + wait);
+    CHECK_FALSE(fixture.follower.leaseUntil("s9"));
+    fixture.source.withoutLease.clear();
+    fixture.run(180ms);
+    CHECK(fixture.follower.leaseUntil("s9"));
   }
 }
 
-TEST_CASE("signs come for topics that somebody looks at, and no more when nobody does") {
-  Following following;
-  following.run(2s);
-  CHECK(following.follower.databaseReports("s3").empty());
-  following.run(400ms);
-  REQUIRE(following.follower.databaseReports("s3").size() == 1);
-  CHECK(following.follower.databaseReports("s3").front().database == "d1 of s3");
-  following.run(6s);
-  auto asked = following.source.signsAsked;
-  following.run(3s);
-  CHECK(following.source.signsAsked == asked);
+TEST_CASE("update server: database reports are sent only for topics whose reports were read recently") {
+  ServerFixture fixture;
+  fixture.run(2s);
+  CHECK(fixture.follower.databaseReports("s3").empty());
+  fixture.run(400ms);
+  REQUIRE(fixture.follower.databaseReports("s3").size() == 1);
+  CHECK(fixture.follower.databaseReports("s3").front().database == "d1 of s3");
+  fixture.run(6s);
+  auto asked = fixture.source.reportsRead;
+  fixture.run(3s);
+  CHECK(fixture.source.reportsRead == asked);
 }
 
-TEST_CASE("a source that started again or gave a topic up is asked anew and costs no other topic its lease") {
-  Following following;
-  following.run(2s);
-  following.source.start();
+TEST_CASE("update server: a restarted source or a topic without a lease does not affect the leases of other topics") {
+  ServerFixture fixture;
+  fixture.run(2s);
+  fixture.source.start();
   for (int step = 0; step < 20; ++step) {
-    following.run(50ms);
-    for (const auto& topic : Following::topics()) REQUIRE(following.follower.leaseUntil(topic));
+    fixture.run(50ms);
+    for (const auto& topic : ServerFixture::topics()) REQUIRE(fixture.follower.leaseUntil(topic));
   }
-  following.source.without = {"s5"};
-  following.source.shorter = {"s6"};
-  following.run(2s);
-  CHECK_FALSE(following.follower.leaseUntil("s5"));
-  CHECK(*following.follower.leaseUntil("s6") <= following.clock.now() + 800ms);
-  CHECK(*following.follower.leaseUntil("s8") > following.clock.now() + 1300ms);
-  following.source.without.clear();
-  following.run(1s);
-  CHECK(following.follower.leaseUntil("s5"));
+  fixture.source.withoutLease = {"s5"};
+  fixture.source.withHalfLease = {"s6"};
+  fixture.run(2s);
+  CHECK_FALSE(fixture.follower.leaseUntil("s5"));
+  CHECK(*fixture.follower.leaseUntil("s6") <= fixture.clock.now() + 800ms);
+  CHECK(*fixture.follower.leaseUntil("s8") > fixture.clock.now() + 1300ms);
+  fixture.source.withoutLease.clear();
+  fixture.run(1s);
+  CHECK(fixture.follower.leaseUntil("s5"));
 }
 
-TEST_CASE("a follower holds what its source holds, whatever is lost between them") {
+TEST_CASE("update follower: tables equal those of the source after lost messages and restarts of the source") {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     CAPTURE(seed);
-    Following following(seed);
-    following.run(1s);
+    ServerFixture fixture(seed);
+    fixture.run(1s);
     for (int step = 0; step < 200; ++step) {
       auto below = [&](std::uint64_t bound) {
-        return following.world.below(bound);
+        return fixture.world.below(bound);
       };
-      if (below(30) == 0) following.source.start();
-      following.network.lose(below(4) == 0 ? 300 : 0);
-      auto topic = "s" + std::to_string(1 + below(services));
-      if (below(2) == 0) following.source.publish(topic, "key" + std::to_string(below(3)), std::to_string(step));
-      following.run(Duration{below(100) * 1000});
-      for (const auto& each : Following::topics())
-        if (auto until = following.follower.leaseUntil(each)) CHECK(*until <= following.clock.now() + following.source.lease);
+      if (below(30) == 0) fixture.source.start();
+      fixture.network.lose(below(4) == 0 ? 300 : 0);
+      auto topic = "s" + std::to_string(1 + below(serviceCount));
+      if (below(2) == 0) fixture.source.publish(topic, "key" + std::to_string(below(3)), std::to_string(step));
+      fixture.run(Duration{below(100) * 1000});
+      for (const auto& each : ServerFixture::topics())
+        if (auto until = fixture.follower.leaseUntil(each)) CHECK(*until <= fixture.clock.now() + fixture.source.lease);
     }
-    following.network.lose(0);
-    following.run(5s);
-    for (const auto& topic : Following::topics()) {
-      CHECK(following.follower.updates().find(topic)->table == following.source.board.find(topic)->table);
-      CHECK(following.follower.leaseUntil(topic));
+    fixture.network.lose(0);
+    fixture.run(5s);
+    for (const auto& topic : ServerFixture::topics()) {
+      CHECK(fixture.follower.updates().find(topic)->table == fixture.source.store.find(topic)->table);
+      CHECK(fixture.follower.leaseUntil(topic));
     }
   }
 }
 
-TEST_CASE("who asks for the shares of one node learns the mark of changes that concern others, and goes on waiting") {
-  Following following;
+TEST_CASE("update server: a follower of one node's shares gets the new version when other shares change, and goes on long-polling") {
+  ServerFixture fixture;
   const Address node{"10.1.0.2:1"};
-  SimulatedClock clock(following.world);
-  SimulatedLink link(following.network, clock, node);
+  SimulatedClock clock(fixture.world);
+  SimulatedLink link(fixture.network, clock, node);
   Desk desk(clock, link, 2);
   SimulatedJournal journal("node", [](const std::string&) {});
   UpdateFollower follower(
       clock, desk, journal,
       [](const Topic&) {
-        return std::vector{sourceAt};
+        return std::vector{sourceAddress};
       },
       FollowTimings{350ms, 50ms},
       [node] {
         return std::optional{node};
       });
-  following.run(2s);
-  REQUIRE(follower.updates().mark("s1") == following.source.board.mark("s1"));
+  fixture.run(2s);
+  REQUIRE(follower.updates().mark("s1") == fixture.source.store.mark("s1"));
   auto asked = [&] {
     return journal.counters().at("news.asks");
   };
   auto before = asked();
-  following.run(5s);
+  fixture.run(5s);
   auto quiet = asked() - before;
-  following.source.publish("s1", "share/10.1.0.9:1", "4");
-  following.run(1s);
-  CHECK(follower.updates().mark("s1") == following.source.board.mark("s1"));
+  fixture.source.publish("s1", "share/10.1.0.9:1", "4");
+  fixture.run(1s);
+  CHECK(follower.updates().mark("s1") == fixture.source.store.mark("s1"));
   CHECK_FALSE(follower.updates().find("s1")->table.contains("share/10.1.0.9:1"));
   before = asked();
-  following.run(5s);
+  fixture.run(5s);
   CHECK(asked() - before <= quiet + 2);
-  following.source.publish("s1", "share/10.1.0.2:1", "7");
-  following.run(300ms);
+  fixture.source.publish("s1", "share/10.1.0.2:1", "7");
+  fixture.run(300ms);
   CHECK(follower.updates().find("s1")->table.at("share/10.1.0.2:1") == "7");
 }
--- a/tests/update_snapshot_test.cpp
+++ b/tests/update_snapshot_test.cpp
@@ -1,4 +1,5 @@
-// Tables with thousands of routes: compressed once a change, asked of replicas alone, waited for while they arrive.
+// Snapshots of tables with thousands of routes: they are compressed once per change, requested from replicas only, and awaited while
+// bytes of them arrive.
 
 #include <catch2/catch.hpp>
 
@@ -14,7 +15,7 @@
 
 namespace {
 
-TopicTable routes(std::uint64_t mark, std::size_t amount) {
+TopicTable routeTable(std::uint64_t mark, std::size_t amount) {
   ServiceNews news;
   news.mark = PlanMark{mark};
   for (std::size_t number = 1; number <= amount; ++number) {
@@ -34,10 +35,10 @@
   return table;
 }
 
-/// A link on which a reply of many bytes arrives piece by piece.
-class SlowLink : public PeerLink {
+/// A link on which the test sets how many bytes of a reply have arrived.
+class SlowReplyLink : public PeerLink {
  public:
-  explicit SlowLink(Address own) : own_(std::move(own)) {}
+  explicit SlowReplyLink(Address own) : own_(std::move(own)) {}
   const Address& own() const override { return own_; }
   void pass(const Address&, Envelope envelope) override { asked = *unpacked<DeskAsk>(envelope.body); }
   std::size_t arriving(const Address&) const override { return arrived; }
@@ -51,9 +52,9 @@
   Address own_;
 };
 
-struct Patient {
-  Patient() { scope.spawn(asking()); }
-  Task<void> asking() {
+struct SlowReplyFixture {
+  SlowReplyFixture() { scope.spawn(request()); }
+  Task<void> request() {
     reply = co_await desk.askPatiently(peer, "follow", {}, 350ms, clock.now() + 5s);
     done = true;
   }
@@ -61,17 +62,17 @@
   Address peer{"10.0.0.1:1"};
   World world{1};
   SimulatedClock clock{world};
-  SlowLink link{Address{"10.1.0.1:1"}};
+  SlowReplyLink link{Address{"10.1.0.1:1"}};
   Desk desk{clock, link, 1};
   std::optional<std::string> reply;
   bool done = false;
   TaskScope scope;
 };
 
-/// A source of one large topic, on a machine of its own.
-struct Source : UpdateSource {
-  Source(World& world, SimulatedNetwork& network, const Address& at)
-      : clock(world), link(network, clock, at), desk(clock, link, 1), news(clock, desk, board, *this, 150ms) {}
+/// A source of one large topic on another machine.
+struct SnapshotSource : UpdateSource {
+  SnapshotSource(World& world, SimulatedNetwork& network, const Address& at)
+      : clock(world), link(network, clock, at), desk(clock, link, 1), server(clock, desk, store, *this, 150ms) {}
   std::optional<Instant> leaseUntil(const Topic&) override { return clock.now() + 1600ms; }
   std::vector<DatabaseReport> databaseReports(const Topic&) override { return {}; }
   bool isReplica() const override { return actsAsReplica; }
@@ -79,17 +80,17 @@
   SimulatedClock clock;
   SimulatedLink link;
   Desk desk;
-  UpdateStore board;
-  UpdateServer news;
+  UpdateStore store;
+  UpdateServer server;
   bool actsAsReplica = false;
 };
 
-struct Following {
-  Following(const Address& source, const Address& follower)
+struct SnapshotFixture {
+  SnapshotFixture(const Address& source, const Address& follower)
       : network(world), own(world, network, source), clock(world), link(network, clock, follower), desk(clock, link, 2) {
-    own.board.publish(fleetTopic, 5, routes(1, 4000));
+    own.store.publish(fleetTopic, 5, routeTable(1, 4000));
   }
-  Task<void> asking(std::uint64_t have) {
+  Task<void> request(std::uint64_t have) {
     FollowRequest ask;
     ask.knownMarks = {{fleetTopic, have}};
     auto bytes = co_await desk.ask(own.link.own(), "follow", packed(ask), clock.now() + 1s);
@@ -97,14 +98,14 @@
   }
   FollowResult ask(std::uint64_t have) {
     reply.reset();
-    scope.spawn(asking(have));
+    scope.spawn(request(have));
     world.runUntil(world.now() + 1s);
     REQUIRE(reply);
     return reply->topics.at(fleetTopic).result;
   }
   World world{1};
   SimulatedNetwork network;
-  Source own;
+  SnapshotSource own;
   SimulatedClock clock;
   SimulatedLink link;
   Desk desk;
@@ -114,9 +115,9 @@
 
 }  // namespace
 
-TEST_CASE("a whole table of many routes goes compressed and comes out as it was") {
+TEST_CASE("snapshots: a table of many routes is compressed to less than a third and restored unchanged") {
   UpdateStore source;
-  auto table = withNodes(routes(1, 4000), 100);
+  auto table = withNodes(routeTable(1, 4000), 100);
   source.publish(fleetTopic, 7, table);
   TopicReply reply;
   source.fillReply(fleetTopic, 0, reply);
@@ -129,35 +130,35 @@
   CHECK(follower.mark(fleetTopic) == 7);
 }
 
-TEST_CASE("the compressed plan is made anew when the plan changes, and only then") {
-  UpdateStore board;
-  board.publish(fleetTopic, 1, withNodes(routes(1, 1000), 1));
+TEST_CASE("snapshots: the compressed plan is rebuilt only when the plan changes") {
+  UpdateStore store;
+  store.publish(fleetTopic, 1, withNodes(routeTable(1, 1000), 1));
   TopicReply first;
-  board.fillReply(fleetTopic, 0, first);
-  board.publishChanges(fleetTopic, 2, {TopicChange{2, "node/10.1.0.9:1", false, "here"}});
+  store.fillReply(fleetTopic, 0, first);
+  store.publishChanges(fleetTopic, 2, {TopicChange{2, "node/10.1.0.9:1", false, "here"}});
   TopicReply second;
-  board.fillReply(fleetTopic, 0, second);
+  store.fillReply(fleetTopic, 0, second);
   CHECK(second.compressedPlan == first.compressedPlan);
   CHECK(second.table.contains("node/10.1.0.9:1"));
-  board.publish(fleetTopic, 3, withNodes(routes(2, 1001), 1));
+  store.publish(fleetTopic, 3, withNodes(routeTable(2, 1001), 1));
   TopicReply third;
-  board.fillReply(fleetTopic, 0, third);
+  store.fillReply(fleetTopic, 0, third);
   CHECK(third.compressedPlan != first.compressedPlan);
   UpdateStore follower;
   REQUIRE(follower.apply(fleetTopic, third));
-  CHECK(follower.find(fleetTopic)->table == board.find(fleetTopic)->table);
+  CHECK(follower.find(fleetTopic)->table == store.find(fleetTopic)->table);
 }
 
-TEST_CASE("a damaged whole plan is not taken") {
-  UpdateStore board;
-  board.publish(fleetTopic, 1, routes(1, 1000));
+TEST_CASE("snapshots: a damaged compressed plan is rejected unless it still gives the same table") {
+  UpdateStore store;
+  store.publish(fleetTopic, 1, routeTable(1, 1000));
   TopicReply reply;
-  board.fillReply(fleetTopic, 0, reply);
+  store.fillReply(fleetTopic, 0, reply);
   for (std::size_t byte = 0; byte < reply.compressedPlan.size(); byte += 97) {
     auto damaged = reply;
     damaged.compressedPlan[byte] ^= 0x55;
     UpdateStore follower;
-    if (follower.apply(fleetTopic, damaged)) CHECK(follower.find(fleetTopic)->table == board.find(fleetTopic)->table);
+    if (follower.apply(fleetTopic, damaged)) CHECK(follower.find(fleetTopic)->table == store.find(fleetTopic)->table);
   }
   auto cut = reply;
   cut.compressedPlan.resize(cut.compressedPlan.size() / 2);
@@ -166,10 +167,10 @@
   CHECK(follower.mark(fleetTopic) == 0);
 }
 
-TEST_CASE("entries published alone leave the same table and the same changes as the whole table does") {
+TEST_CASE("update store: publishing single entries gives the same table and changes as publishing the whole table") {
   UpdateStore whole;
   UpdateStore single;
-  for (auto* board : {&whole, &single}) board->publish(fleetTopic, 1, withNodes({}, 3));
+  for (auto* store : {&whole, &single}) store->publish(fleetTopic, 1, withNodes({}, 3));
   auto table = withNodes({}, 4);
   table.erase("node/10.1.0.2:1");
   whole.publish(fleetTopic, 2, table);
@@ -183,38 +184,38 @@
   CHECK(single.mark(fleetTopic) == 2);
 }
 
-TEST_CASE("a node passes on what changed, and a large whole table only on its own machine; a replica always does") {
-  Following other(Address{"10.1.0.1:1"}, Address{"10.1.0.2:1"});
+TEST_CASE("snapshots: a node sends changes to all and large snapshots only within its machine; a replica sends both to all") {
+  SnapshotFixture other(Address{"10.1.0.1:1"}, Address{"10.1.0.2:1"});
   CHECK(other.ask(0) == FollowResult::notCurrent);
   CHECK(other.ask(5) == FollowResult::changes);
   other.own.actsAsReplica = true;
   CHECK(other.ask(0) == FollowResult::snapshot);
-  Following same(Address{"10.1.0.1:1"}, Address{"10.1.0.1:2"});
+  SnapshotFixture same(Address{"10.1.0.1:1"}, Address{"10.1.0.1:2"});
   CHECK(same.ask(0) == FollowResult::snapshot);
 }
 
-TEST_CASE("a long reply is waited for as long as bytes of it arrive, and no longer") {
-  SECTION("it arrives") {
-    Patient patient;
+TEST_CASE("snapshots: a long reply is awaited while bytes of it arrive, and no longer") {
+  SECTION("all of it arrives") {
+    SlowReplyFixture fixture;
     for (int piece = 0; piece < 8; ++piece) {
-      patient.link.arrived += 10'000;
-      patient.run(300ms);
-      REQUIRE_FALSE(patient.done);
+      fixture.link.arrived += 10'000;
+      fixture.run(300ms);
+      REQUIRE_FALSE(fixture.done);
     }
-    patient.link.reply(patient.peer);
-    patient.run(10ms);
-    CHECK(patient.reply == "whole");
+    fixture.link.reply(fixture.peer);
+    fixture.run(10ms);
+    CHECK(fixture.reply == "whole");
   }
-  SECTION("it breaks off") {
-    Patient patient;
-    patient.link.arrived = 10'000;
-    patient.run(800ms);
-    CHECK(patient.done);
-    CHECK_FALSE(patient.reply);
+  SECTION("it stops halfway") {
+    SlowReplyFixture fixture;
+    fixture.link.arrived = 10'000;
+    fixture.run(800ms);
+    CHECK(fixture.done);
+    CHECK_FALSE(fixture.reply);
   }
-  SECTION("nothing comes") {
-    Patient patient;
-    patient.run(360ms);
-    CHECK(patient.done);
+  SECTION("nothing arrives") {
+    SlowReplyFixture fixture;
+    fixture.run(360ms);
+    CHECK(fixture.done);
   }
 }
--- a/tests/update_store_node_test.cpp
+++ b/tests/update_store_node_test.cpp
@@ -7,75 +7,75 @@
 
 namespace {
 
-const Topic topic = "s1";
-const std::optional<Address> a = Address{"10.1.0.1:1"};
-const std::optional<Address> b = Address{"10.1.0.2:1"};
+const Topic serviceTopic = "s1";
+const std::optional<Address> nodeA = Address{"10.1.0.1:1"};
+const std::optional<Address> nodeB = Address{"10.1.0.2:1"};
 
-std::string shareOf(const std::optional<Address>& node) {
+std::string shareKey(const std::optional<Address>& node) {
   return sharePrefix + node->get();
 }
 
-struct Boards {
-  Boards() { publish("1", "1", "d1"); }
+struct StoreFixture {
+  StoreFixture() { publish("1", "1", "d1"); }
   void publish(const std::string& shareOfA, const std::string& shareOfB, const std::string& primary) {
-    source.publish(topic, ++mark, TopicTable{{shareOf(a), shareOfA}, {shareOf(b), shareOfB}, {"primary", primary}});
+    source.publish(serviceTopic, ++mark, TopicTable{{shareKey(nodeA), shareOfA}, {shareKey(nodeB), shareOfB}, {"primary", primary}});
   }
-  TopicReply follow(UpdateStore& follower, const UpdateStore& from, const std::optional<Address>& own) {
+  TopicReply follow(UpdateStore& follower, const UpdateStore& from, const std::optional<Address>& onlyNode) {
     TopicReply reply;
-    from.fillReply(topic, follower.completeMark(topic, own), reply, own);
-    taken = follower.apply(topic, reply, own);
+    from.fillReply(serviceTopic, follower.completeMark(serviceTopic, onlyNode), reply, onlyNode);
+    applied = follower.apply(serviceTopic, reply, onlyNode);
     return reply;
   }
   UpdateStore source;
   std::uint64_t mark = 0;
-  bool taken = false;
+  bool applied = false;
 };
 
 }  // namespace
 
-TEST_CASE("news of one node: a follower gets its own share alone, and the mark of all") {
-  Boards boards;
+TEST_CASE("updates of one node: a follower gets its own share only, and the version of the whole topic") {
+  StoreFixture fixture;
   UpdateStore follower;
-  boards.follow(follower, boards.source, a);
-  CHECK(follower.find(topic)->table == TopicTable{{shareOf(a), "1"}, {"primary", "d1"}});
-  boards.publish("1", "2", "d1");
-  CHECK(boards.follow(follower, boards.source, a).changes.empty());
-  CHECK(boards.taken);
-  CHECK(follower.mark(topic) == boards.mark);
-  boards.publish("3", "3", "d2");
-  CHECK(boards.follow(follower, boards.source, a).changes.size() == 2);
-  CHECK(follower.find(topic)->table == TopicTable{{shareOf(a), "3"}, {"primary", "d2"}});
+  fixture.follow(follower, fixture.source, nodeA);
+  CHECK(follower.find(serviceTopic)->table == TopicTable{{shareKey(nodeA), "1"}, {"primary", "d1"}});
+  fixture.publish("1", "2", "d1");
+  CHECK(fixture.follow(follower, fixture.source, nodeA).changes.empty());
+  CHECK(fixture.applied);
+  CHECK(follower.mark(serviceTopic) == fixture.mark);
+  fixture.publish("3", "3", "d2");
+  CHECK(fixture.follow(follower, fixture.source, nodeA).changes.size() == 2);
+  CHECK(follower.find(serviceTopic)->table == TopicTable{{shareKey(nodeA), "3"}, {"primary", "d2"}});
 }
 
-TEST_CASE("news of one node: who holds them for one node passes them on to that node alone") {
-  Boards boards;
+TEST_CASE("updates of one node: a store that has them for one node serves that node only") {
+  StoreFixture fixture;
   UpdateStore agent;
   UpdateStore proxy;
   UpdateStore other;
-  boards.follow(agent, boards.source, a);
-  boards.follow(proxy, agent, a);
-  CHECK(boards.taken);
-  CHECK(proxy.find(topic)->table == agent.find(topic)->table);
-  for (const auto& own : {b, std::optional<Address>{}}) {
-    CHECK(boards.follow(other, agent, own).result == FollowResult::notCurrent);
-    CHECK_FALSE(boards.taken);
+  fixture.follow(agent, fixture.source, nodeA);
+  fixture.follow(proxy, agent, nodeA);
+  CHECK(fixture.applied);
+  CHECK(proxy.find(serviceTopic)->table == agent.find(serviceTopic)->table);
+  for (const auto& onlyNode : {nodeB, std::optional<Address>{}}) {
+    CHECK(fixture.follow(other, agent, onlyNode).result == FollowResult::notCurrent);
+    CHECK_FALSE(fixture.applied);
   }
 }
 
-TEST_CASE("news of one node: who comes to pass news on to all asks for the whole once more, also where nothing is new") {
-  Boards boards;
+TEST_CASE("updates of one node: a node that becomes a relay requests the whole table again, even if nothing changed") {
+  StoreFixture fixture;
   UpdateStore agent;
   UpdateStore other;
-  boards.follow(agent, boards.source, a);
-  CHECK(agent.completeMark(topic, std::nullopt) == 0);
-  boards.follow(agent, boards.source, std::nullopt);
-  CHECK(agent.find(topic)->table == boards.source.find(topic)->table);
-  CHECK(agent.completeMark(topic, std::nullopt) == boards.mark);
-  boards.follow(other, agent, b);
-  CHECK(other.find(topic)->table == TopicTable{{shareOf(b), "1"}, {"primary", "d1"}});
-  // one that is no home any more holds what it has as its own from the next change on
-  boards.publish("2", "2", "d1");
-  boards.follow(agent, boards.source, a);
-  CHECK(boards.taken);
-  CHECK(agent.completeMark(topic, std::nullopt) == 0);
+  fixture.follow(agent, fixture.source, nodeA);
+  CHECK(agent.completeMark(serviceTopic, std::nullopt) == 0);
+  fixture.follow(agent, fixture.source, std::nullopt);
+  CHECK(agent.find(serviceTopic)->table == fixture.source.find(serviceTopic)->table);
+  CHECK(agent.completeMark(serviceTopic, std::nullopt) == fixture.mark);
+  fixture.follow(other, agent, nodeB);
+  CHECK(other.find(serviceTopic)->table == TopicTable{{shareKey(nodeB), "1"}, {"primary", "d1"}});
+  // an agent that is no longer a relay counts its table as its own node's from the next change on
+  fixture.publish("2", "2", "d1");
+  fixture.follow(agent, fixture.source, nodeA);
+  CHECK(fixture.applied);
+  CHECK(agent.completeMark(serviceTopic, std::nullopt) == 0);
 }
--- a/tests/zone_relays_test.cpp
+++ b/tests/zone_relays_test.cpp
@@ -25,15 +25,15 @@
 
 }  // namespace
 
-TEST_CASE("a zone has two homes for each 24 agents, and an agent two sources in it at most") {
+TEST_CASE("zone relays: a zone has two relays per 24 agents, and an agent has at most two sources in it") {
   for (std::size_t count : {1u, 2u, 3u, 12u, 24u, 25u, 70u, 400u}) {
     CAPTURE(count);
     auto all = agents(count);
     ZoneRelays zone(all);
-    auto homes = std::count_if(all.begin(), all.end(), [&](const auto& agent) {
+    auto relays = std::count_if(all.begin(), all.end(), [&](const auto& agent) {
       return zone.isRelay(agent);
     });
-    CHECK(static_cast<std::size_t>(homes) == std::min(count, 2 * ((count + 23) / 24)));
+    CHECK(static_cast<std::size_t>(relays) == std::min(count, 2 * ((count + 23) / 24)));
     std::map<Address, std::size_t> followers;
     for (const auto& agent : all) {
       std::set<Address> sources;
@@ -49,11 +49,11 @@
         ++followers[source];
       }
     }
-    for (const auto& [home, own] : followers) CHECK(own <= 48);
+    for (const auto& [relay, own] : followers) CHECK(own <= 48);
   }
 }
 
-TEST_CASE("a topic has one home in each group, which follows replicas, and no two homes wait for each other") {
+TEST_CASE("zone relays: one relay in each group follows a topic at replicas, and no two relays follow each other") {
   ZoneRelays zone(agents(70));
   for (const auto& topic : topics()) {
     std::size_t first = 0;
@@ -68,7 +68,7 @@
   }
 }
 
-TEST_CASE("an agent that the zone does not know follows replicas") {
+TEST_CASE("zone relays: an agent that is not in the zone's list follows replicas") {
   CHECK(ZoneRelays{}.relaysFor(fleetTopic, Address{"10.1.0.1:1"}).empty());
   CHECK(ZoneRelays{agents(5)}.relaysFor(fleetTopic, Address{"10.9.0.1:1"}).empty());
 }
