--- a/src/proxy/database_json.cpp
+++ b/src/proxy/database_json.cpp
@@ -86,7 +86,7 @@
                          json.value("replicated", true),
                          json.value("reason", ""),
                          json.at("result").get<std::string>(),
-                         standing,
+                         status,
                          commitPosition};
   });
 }
