--- a/src/edge/session_door.cpp
+++ b/src/edge/session_door.cpp
@@ -130,7 +130,7 @@
            {"primary", view.primary.primary.get()},
            {"promoted", view.primary.promoted},
            {"leased", directory.leased(name)}};
-    for (const auto& [branch, most] : view.share.most)
+    for (const auto& [branch, most] : view.share.connections)
       own["branches"][branch.get()] = {{"share", most},
                                        {"busy", proxy_.pool().mostBusyOnOneDatabase(name, branch)},
                                        {"waiting", proxy_.requests().waitingCount(name, branch)}};
--- a/src/pooler/pooler.cpp
+++ b/src/pooler/pooler.cpp
@@ -164,7 +164,7 @@
   auto tracker = trackers_.find(name);
   if (tracker == trackers_.end() || clock_.now() - tracker->second.lastLeasedAt > settings_.timings.connectionsKept) return 0;
   std::uint32_t sum = 0;
-  for (const auto& [branch, most] : view.share.most) sum += most;
+  for (const auto& [branch, most] : view.share.connections) sum += most;
   return sum;
 }
 
@@ -196,7 +196,7 @@
 
 Duration Pooler::statementTimeout(const KindName& kind) const {
   auto found = routeNamed(kind);
-  return found && found->kind->statement ? *found->kind->statement : settings_.timings.queuePatience;
+  return found && found->kind->statementTimeout ? *found->kind->statementTimeout : settings_.timings.queuePatience;
 }
 
 StatementReply Pooler::refuse(StatementFault fault, std::string reason, TransactionState state) {
@@ -337,8 +337,8 @@
   if (leased) tracker.lastLeasedAt = now;
   if (view.primary.epoch != tracker.observedEpoch) {
     bool first = tracker.observedEpoch == Epoch{};
-    tracker.finishUntil = view.primary.planned ? now + settings_.plannedChangeGrace : now;
-    if (!first && !view.primary.planned && tracker.primary != view.primary.primary) pool_.closeIdle(tracker.primary);
+    tracker.finishUntil = view.primary.plannedSwitchover ? now + settings_.plannedChangeGrace : now;
+    if (!first && !view.primary.plannedSwitchover && tracker.primary != view.primary.primary) pool_.closeIdle(tracker.primary);
     tracker.observedEpoch = view.primary.epoch;
     tracker.primary = view.primary.primary;
   }
@@ -350,7 +350,7 @@
     if (runs && now >= tracker.finishUntil)
       for (const auto& [database, info] : view.databases)
         pool_.closeBusy(database, true, tracker.observedEpoch,
-                        view.primary.planned && now < tracker.finishUntil + settings_.plannedChangeGrace);
+                        view.primary.plannedSwitchover && now < tracker.finishUntil + settings_.plannedChangeGrace);
     if (!runs) {
       tracker.confirmedEpoch = tracker.observedEpoch;
       requestReport();
@@ -398,28 +398,28 @@
     if (!view.plan) continue;
     auto& tracker = trackers_[name];
     auto& own = report.services[name];
-    own.followed = tracker.appliedMark;
+    own.appliedPosition = tracker.appliedMark;
     own.epoch = tracker.confirmedEpoch;
-    if (view.plan->service.keepsAcknowledged()) own.acknowledged = tracker.acknowledgedPosition;
+    if (view.plan->service.keepsAcknowledgedWrites()) own.acknowledged = tracker.acknowledgedPosition;
     own.suspects = tracker.suspects;
     own.strained = tracker.strained;
     own.demands = tracker.demands;
-    own.working = now - tracker.lastWorkAt < 1s;
+    own.hasRecentWork = now - tracker.lastWorkAt < 1s;
     std::size_t held = 0;
     for (const auto& [database, info] : view.databases)
       if (const auto* databasePool = pool_.find(database)) held = std::max(held, databasePool->busy.size());
     tracker.connectionDemand = std::max(static_cast<double>(held), tracker.connectionDemand * 0.9);
     if (auto until = guide_.leaseUntil(name)) report.lease = std::max(report.lease, *until - now);
     for (const auto& [branch, planned] : view.plan->service.branches)
-      own.wanted[branch] = closing() ? 0 : static_cast<std::uint32_t>(tracker.connectionDemand + 1.5);
+      own.connectionDemand[branch] = closing() ? 0 : static_cast<std::uint32_t>(tracker.connectionDemand + 1.5);
   }
   return report;
 }
 
 NodeReport Pooler::withoutUnchanged(NodeReport report) {
   auto now = clock_.now();
-  report.whole = now - lastWholeReportAt_ > 2 * settings_.timings.report || notReadyReason();
-  if (report.whole) {
+  report.full = now - lastWholeReportAt_ > 2 * settings_.timings.report || notReadyReason();
+  if (report.full) {
     lastWholeReportAt_ = now;
     lastReported_ = report.services;
     return report;
@@ -436,13 +436,13 @@
     return now <= 2 * before + demandUnit && before <= 2 * now + demandUnit;
   };
   auto same = [similarLoad](const ServiceReport& left, const ServiceReport& right) {
-    bool wants = std::all_of(right.wanted.begin(), right.wanted.end(), [&](const auto& each) {
-      auto before = left.wanted.find(each.first);
-      return before != left.wanted.end() && each.second <= before->second + 1 && before->second <= each.second + 2;
+    bool wants = std::all_of(right.connectionDemand.begin(), right.connectionDemand.end(), [&](const auto& each) {
+      auto before = left.connectionDemand.find(each.first);
+      return before != left.connectionDemand.end() && each.second <= before->second + 1 && before->second <= each.second + 2;
     });
     return wants && similarLoad(left.demands, right.demands) &&
-           std::tie(left.epoch, left.followed, left.acknowledged, left.suspects, left.strained, left.working) ==
-               std::tie(right.epoch, right.followed, right.acknowledged, right.suspects, right.strained, right.working);
+           std::tie(left.epoch, left.appliedPosition, left.acknowledged, left.suspects, left.strained, left.hasRecentWork) ==
+               std::tie(right.epoch, right.appliedPosition, right.acknowledged, right.suspects, right.strained, right.hasRecentWork);
   };
   std::erase_if(report.services, [&](const auto& each) {
     auto before = lastReported_.find(each.first);
--- a/src/pooler/pooler_serving.cpp
+++ b/src/pooler/pooler_serving.cpp
@@ -31,7 +31,7 @@
     return;
   }
   const auto& view = *found->service;
-  std::optional<Place> minPosition;
+  std::optional<LogPosition> minPosition;
   auto databases = candidates(*request, *found, minPosition);
   if (databases.empty() && !request->rationed && anyRationed(view, *request)) {
     request->rationed = true;
@@ -108,7 +108,7 @@
 }
 
 std::vector<DatabaseName> Pooler::candidates(const ConnectionRequest& request, const Route& route,
-                                             std::optional<Place>& minPosition) const {
+                                             std::optional<LogPosition>& minPosition) const {
   const auto& view = *route.service;
   const auto& primary = view.primary.primary;
   auto usable = [&](const DatabaseName& database) {
@@ -211,7 +211,7 @@
   if (connection->epoch == view->primary.epoch) return true;
   auto tracker = trackers_.find(service);
   bool finishing = tracker != trackers_.end() && tracker->second.confirmedEpoch < view->primary.epoch;
-  return finishing && view->primary.planned && Epoch{connection->epoch.get() + 1} == view->primary.epoch;
+  return finishing && view->primary.plannedSwitchover && Epoch{connection->epoch.get() + 1} == view->primary.epoch;
 }
 
 Duration Pooler::attemptTimeout(const Connection& connection, const KindName& kind, int attempt) const {
@@ -220,7 +220,8 @@
   if (usual == usualLatencyMicros_.end() || !databasePool) return statementTimeout(kind);
   auto expected = 8 * std::max(usual->second, databasePool->meanLatencyMicros);
   auto least = settings_.minAttemptTimeout;
-  if (auto found = routeNamed(kind); found && found->kind->aim) least = std::max<Duration>(least, *found->kind->aim / 2);
+  if (auto found = routeNamed(kind); found && found->kind->targetLatency)
+    least = std::max<Duration>(least, *found->kind->targetLatency / 2);
   return std::max(least, Duration{static_cast<Duration::rep>(expected)}) * (1 << std::min(attempt, 4));
 }
 
@@ -230,7 +231,7 @@
   if (!fresh) usual->second += (micros - usual->second) * 0.05;
 }
 
-Task<BackEndReply> Pooler::runOn(ClientSession* session, Connection connection, Statement statement, std::optional<Place> minPosition,
+Task<BackEndReply> Pooler::runOn(ClientSession* session, Connection connection, Statement statement, std::optional<LogPosition> minPosition,
                                  Instant deadline) {
   auto askedAt = clock_.now();
   checkSending(session, connection, statement);
--- a/src/pooler/primary_position_history.hpp
+++ b/src/pooler/primary_position_history.hpp
@@ -14,14 +14,14 @@
   static constexpr Duration minInterval = 20ms;
   static constexpr Duration retention = 10s;
 
-  void record(Instant askedAt, Place logPosition);
-  std::optional<Place> covering(Instant since) const;
+  void record(Instant askedAt, LogPosition logPosition);
+  std::optional<LogPosition> covering(Instant since) const;
   std::optional<Instant> newest() const;
 
  private:
   struct Sample {
     Instant askedAt;
-    Place logPosition;
+    LogPosition logPosition;
   };
   std::deque<Sample> samples_;
 };
--- a/src/pooler/service_tracker.hpp
+++ b/src/pooler/service_tracker.hpp
@@ -21,7 +21,7 @@
   Instant lastWorkAt{};
   double connectionDemand = 0;
   std::uint64_t appliedMark = 0;
-  Place acknowledgedPosition;
+  LogPosition acknowledgedPosition;
 };
 
 }  // namespace tamarindshift
--- a/src/proxy/database_messages.hpp
+++ b/src/proxy/database_messages.hpp
@@ -34,7 +34,7 @@
   /// The newest term that the database knows of; a promotion raises it.
   Epoch term{};
   /// Epoch and position of the last entry of its log.
-  Place logEnd() const { return Place{epoch, position}; }
+  LogPosition logEnd() const { return LogPosition{epoch, position}; }
 };
 
 struct DatabaseReply {
--- a/src/proxy/proxy_node.cpp
+++ b/src/proxy/proxy_node.cpp
@@ -69,10 +69,10 @@
   for (const auto& [name, view] : directory_.services()) {
     if (!view.plan) continue;
     auto& serviceReport = report.services[name];
-    serviceReport.followed = followedMarks_[name];
+    serviceReport.appliedPosition = followedMarks_[name];
     serviceReport.epoch = view.primary.epoch;
     serviceReport.acknowledged = acknowledged_[name];
-    serviceReport.working = now - lastWorkAt_[name] < settings_.timings.suspicionKept;
+    serviceReport.hasRecentWork = now - lastWorkAt_[name] < settings_.timings.suspicionKept;
     for (const auto& [database, unreachable] : unreachable_[name])
       if (unreachable.attempts > 1 && now - unreachable.at < settings_.timings.suspicionKept) serviceReport.suspects.insert(database);
     if (auto until = directory_.leaseUntil(name)) report.lease = std::max(report.lease, *until - now);
@@ -81,7 +81,7 @@
       auto wants = static_cast<double>(held + requests_.waitingCount(name, branch));
       auto& demand = demand_[{name, branch}];
       demand = std::max(wants, demand * 0.974);
-      serviceReport.wanted[branch] = draining() ? 0 : static_cast<std::uint32_t>(demand + 1.5);
+      serviceReport.connectionDemand[branch] = draining() ? 0 : static_cast<std::uint32_t>(demand + 1.5);
     }
   }
   return report;
@@ -94,15 +94,15 @@
     const auto& [name, serviceReport] = each;
     auto before = lastReport_.services.find(name);
     if (before == lastReport_.services.end()) return true;
-    const auto& share = directory_.service(name)->share.most;
-    bool needsMore = std::any_of(serviceReport.wanted.begin(), serviceReport.wanted.end(), [&](const auto& want) {
+    const auto& share = directory_.service(name)->share.connections;
+    bool needsMore = std::any_of(serviceReport.connectionDemand.begin(), serviceReport.connectionDemand.end(), [&](const auto& want) {
       auto granted = share.find(want.first);
-      auto reported = before->second.wanted.find(want.first);
+      auto reported = before->second.connectionDemand.find(want.first);
       return granted != share.end() && want.second > granted->second &&
-             (reported == before->second.wanted.end() || reported->second <= granted->second);
+             (reported == before->second.connectionDemand.end() || reported->second <= granted->second);
     });
-    return needsMore || serviceReport.followed != before->second.followed || serviceReport.epoch != before->second.epoch ||
-           serviceReport.working != before->second.working || serviceReport.suspects != before->second.suspects;
+    return needsMore || serviceReport.appliedPosition != before->second.appliedPosition || serviceReport.epoch != before->second.epoch ||
+           serviceReport.hasRecentWork != before->second.hasRecentWork || serviceReport.suspects != before->second.suspects;
   });
 }
 
@@ -258,9 +258,9 @@
 std::optional<std::string> ProxyNode::notReady() const {
   if (draining()) return "this node is leaving";
   if (!directory_.anyLease()) return "no current lease";
-  if (directory_.planMark() == PlanMark{}) return "no plan";
+  if (directory_.planMark() == PlanVersion{}) return "no plan";
   for (const auto& [name, view] : directory_.services())
-    if (!directory_.leased(name) || view.share.most.empty()) return "no share of service " + name.get() + " yet";
+    if (!directory_.leased(name) || view.share.connections.empty()) return "no share of service " + name.get() + " yet";
   if (directory_.services().empty()) return "no news of any service";
   return std::nullopt;
 }
--- a/src/proxy/proxy_node.hpp
+++ b/src/proxy/proxy_node.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/queue.hpp"
-#include "control/access_messages.hpp"
+#include "control/report_messages.hpp"
 #include "updates/update_follower.hpp"
 #include "proxy/connection_pool.hpp"
 #include "proxy/proxy_settings.hpp"
@@ -117,10 +117,10 @@
   /// The version of each service's topic that this node's connections conform to.
   std::map<ServiceName, std::uint64_t> followedMarks_;
   /// The last plan with which the connections were within the share.
-  std::map<ServiceName, PlanMark> planWithinLimits_;
+  std::map<ServiceName, PlanVersion> planWithinLimits_;
   std::map<ServiceName, Instant> surplusSince_;
   /// The newest write of each service that a client got a reply for.
-  std::map<ServiceName, Place> acknowledged_;
+  std::map<ServiceName, LogPosition> acknowledged_;
   /// Connections wanted, decaying by 2.6 % with each report that is made.
   std::map<std::pair<ServiceName, BranchName>, double> demand_;
   /// Moving average of the duration of requests, in microseconds.
--- a/src/proxy/proxy_placement.cpp
+++ b/src/proxy/proxy_placement.cpp
@@ -30,8 +30,8 @@
   if (session->pinned) return requests_.add(record);
   auto waiting = requests_.waitingCount(record->service, record->branch);
   if (waiting >= settings_.maxQueued) return refuse(record, "queue is full");
-  auto granted = view.service->share.most.find(record->branch);
-  auto slots = granted == view.service->share.most.end() ? 0 : granted->second;
+  auto granted = view.service->share.connections.find(record->branch);
+  auto slots = granted == view.service->share.connections.end() ? 0 : granted->second;
   auto expected = meanDurationUs_[record->service] * static_cast<double>(waiting) / std::max(1u, slots);
   if (expected > static_cast<double>(settings_.timings.queuePatience.count())) return refuse(record, "queue is past hope");
   requests_.add(record);
@@ -74,8 +74,8 @@
   bool pins = operation == Operation::prepare || operation == Operation::set;
   if (pins) {
     // sessions with prepared statements or set values may hold half of the branch's share, and at least one connection
-    auto granted = view.service->share.most.find(record->branch);
-    auto most = granted == view.service->share.most.end() ? 0 : std::max(1u, granted->second / 2);
+    auto granted = view.service->share.connections.find(record->branch);
+    auto most = granted == view.service->share.connections.end() ? 0 : std::max(1u, granted->second / 2);
     if (this->pinnedCount(record->service, record->branch) >= most) return refuse(record, "too many sessions hold connections");
   }
   std::string refusal;
--- a/src/proxy/proxy_replies.cpp
+++ b/src/proxy/proxy_replies.cpp
@@ -170,7 +170,7 @@
     auto& minPosition = session->minPositions[record->service];
     minPosition = std::max(minPosition, reply.commitPosition);
     auto& acknowledged = acknowledged_[record->service];
-    acknowledged = std::max(acknowledged, Place{reply.status.epoch, reply.commitPosition});
+    acknowledged = std::max(acknowledged, LogPosition{reply.status.epoch, reply.commitPosition});
   }
   if (operation == Operation::begin && reply.done) session->inTransaction = true;
   if (operation == Operation::commit || operation == Operation::rollback) session->inTransaction = false;
--- a/src/proxy/service_directory.hpp
+++ b/src/proxy/service_directory.hpp
@@ -1,8 +1,9 @@
 // The services and routes that a node knows from updates, and under which leases it may act on them.
 #pragma once
 
+#include "control/published_entries.hpp"
 #include "control/ration.hpp"
-#include "control/service_news.hpp"
+
 #include "updates/update_feed.hpp"
 
 namespace tamarindshift {
@@ -18,16 +19,16 @@
     std::uint64_t mark = 0;
     /// The version of the plan entries from which `plan` was read.
     std::uint64_t planChangeMark = 0;
-    std::optional<ServiceNews> plan;
-    PrimaryNews primary;
-    std::map<DatabaseName, DatabaseNews> databases;
+    std::optional<PublishedServicePlan> plan;
+    PublishedPrimary primary;
+    std::map<DatabaseName, PublishedDatabase> databases;
     /// Drained databases, with the time at which this node learned of it.
     std::map<DatabaseName, Instant> drained;
     std::map<DatabaseName, Ration> rations;
     /// The share that the updates grant to this node's address.
-    ShareNews granted;
+    PublishedShare granted;
     /// `granted` if this process is the one that is registered, or else empty.
-    ShareNews share;
+    PublishedShare share;
   };
   /// A route and its service; if it can't be used, `kind` and `service` are null and `refusal` says why.
   struct KindView {
@@ -51,7 +52,7 @@
   /// The earlier end of the leases of the service and of the fleet's topic.
   std::optional<Instant> leaseUntil(const ServiceName& name) const;
   std::vector<DatabaseReport> databaseReports(const ServiceName& name) const;
-  PlanMark planMark() const { return fleetPlan_.mark; }
+  PlanVersion planMark() const { return fleetPlan_.mark; }
   const std::map<std::string, std::uint64_t>& limits() const { return fleetPlan_.limits; }
   /// Whether the control plane has this node drained.
   bool draining() const;
@@ -78,8 +79,8 @@
   std::uint64_t boot_;
   std::uint64_t fleetMark_ = 0;
   std::uint64_t fleetPlanChangeMark_ = 0;
-  FleetPlanNews fleetPlan_;
-  NodeNews nodeState_;
+  PublishedFleetPlan fleetPlan_;
+  PublishedNode nodeState_;
   bool nodeRegistered_ = false;
   std::map<ServiceName, ServiceView> services_;
 };
--- a/src/updates/agent_node.cpp
+++ b/src/updates/agent_node.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 
 #include "control/heartbeat_json.hpp"
-#include "control/service_news.hpp"
+#include "control/published_entries.hpp"
 #include "edge/door_replies.hpp"
 
 namespace tamarindshift {
@@ -64,7 +64,7 @@
   relaysMark_ = mark;
   std::vector<Address> agents;
   for (auto entry = fleet->table.lower_bound(nodePrefix); entry != fleet->table.end() && entry->first.starts_with(nodePrefix); ++entry) {
-    auto node = unpacked<NodeNews>(entry->second);
+    auto node = unpacked<PublishedNode>(entry->second);
     if (node && node->zone == settings_.zone && !node->draining) agents.push_back(Address{entry->first.substr(nodePrefix.size())});
   }
   relays_ = ZoneRelays{std::move(agents)};
--- a/src/updates/agent_node.hpp
+++ b/src/updates/agent_node.hpp
@@ -5,7 +5,7 @@
 
 #include <nlohmann/json_fwd.hpp>
 
-#include "control/access_messages.hpp"
+#include "control/report_messages.hpp"
 #include "edge/door.hpp"
 #include "updates/agent_settings.hpp"
 #include "updates/update_server.hpp"
--- a/src/updates/report_tracker.hpp
+++ b/src/updates/report_tracker.hpp
@@ -1,7 +1,7 @@
 // Turns the reports of a node into messages to replicas that carry only what changed since the last one.
 #pragma once
 
-#include "control/access_messages.hpp"
+#include "control/report_messages.hpp"
 
 namespace tamarindshift {
 
--- a/tests/pooler_trial.hpp
+++ b/tests/pooler_trial.hpp
@@ -111,10 +111,10 @@
   void checkPromises();
 
   std::map<std::string, TrialClient*> clients_;
-  std::vector<std::pair<Instant, Place>> acknowledged_;
+  std::vector<std::pair<Instant, LogPosition>> acknowledged_;
   std::map<std::string, std::string> acknowledgedWrites_;
   std::set<std::string> mustNotCommit_;
-  std::map<std::string, Place> positions_;
+  std::map<std::string, LogPosition> positions_;
   std::uint64_t planMark_ = 0;
   TaskScope scope_;
 };
--- a/tests/update_follower_test.cpp
+++ b/tests/update_follower_test.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
 #include "control/control_state.hpp"
-#include "control/plan_news.hpp"
+#include "control/plan_entries.hpp"
 #include "updates/update_server.hpp"
 #include "updates/update_follower.hpp"
 #include "proxy/service_directory.hpp"
@@ -34,11 +34,11 @@
 };
 
 TopicTable planTable(const std::set<std::string>& services) {
-  FleetPlanNews news;
-  news.mark = PlanMark{1};
+  PublishedFleetPlan news;
+  news.mark = PlanVersion{1};
   for (const auto& service : services) news.kinds[KindName{"k" + service}] = ServiceName{service};
   TopicTable table;
-  layPlan(table, news);
+  writePlanEntries(table, news);
   return table;
 }
 
@@ -177,21 +177,21 @@
   ServiceDirectory directory(clock, feed, Address{"10.1.0.1:1"}, 8);
   auto fleet = [&](std::uint64_t mark, std::uint64_t boot, std::uint64_t enrolledAt) {
     auto table = planTable({"s1"});
-    table["node/10.1.0.1:1"] = packed(NodeNews{Zone{"z1"}, false, {}, boot, enrolledAt});
+    table["node/10.1.0.1:1"] = packed(PublishedNode{Zone{"z1"}, false, {}, boot, enrolledAt});
     feed.store.publish(fleetTopic, mark, std::move(table));
     directory.refresh();
   };
-  ShareNews share{{{BranchName{"b"}, 4}}};
+  PublishedShare share{{{BranchName{"b"}, 4}}};
   feed.store.publish(
       "s1", 2,
-      TopicTable{{"share/10.1.0.1:1", packed(share)}, {"database/d1", packed(DatabaseNews{Address{"10.2.0.1:1"}, Zone{"z1"}, 5})}});
+      TopicTable{{"share/10.1.0.1:1", packed(share)}, {"database/d1", packed(PublishedDatabase{Address{"10.2.0.1:1"}, Zone{"z1"}, 5})}});
   feed.at = 3;
   fleet(3, 7, 1);
-  CHECK(directory.service(ServiceName{"s1"})->share.most.empty());
+  CHECK(directory.service(ServiceName{"s1"})->share.connections.empty());
   CHECK(directory.service(ServiceName{"s1"})->databases.at(DatabaseName{"d1"}).capacity == 5);
   fleet(4, 8, 4);
-  CHECK(directory.service(ServiceName{"s1"})->share.most.empty());
+  CHECK(directory.service(ServiceName{"s1"})->share.connections.empty());
   feed.at = 4;
   directory.refresh();
-  CHECK(directory.service(ServiceName{"s1"})->share.most.at(BranchName{"b"}) == 4);
+  CHECK(directory.service(ServiceName{"s1"})->share.connections.at(BranchName{"b"}) == 4);
 }
--- a/tests/update_restore_test.cpp
+++ b/tests/update_restore_test.cpp
@@ -10,24 +10,24 @@
 
 struct RestoredReplica {
   RestoredReplica() : state(store) {}
-  void applyHeld(ControlMatter matter, std::string body) {
+  void applyHeld(ControlCommandType matter, std::string body) {
     Action action;
-    action.update = packed(ControlUpdate{matter, 0, std::move(body)});
+    action.update = packed(ControlCommand{matter, 0, std::move(body)});
     CHECK(state.applyGreen(action, ++position) == "held");
   }
-  void apply(ControlMatter matter, std::string body) {
+  void apply(ControlCommandType matter, std::string body) {
     Action action;
-    action.update = packed(ControlUpdate{matter, 0, std::move(body)});
+    action.update = packed(ControlCommand{matter, 0, std::move(body)});
     state.applyGreen(action, ++position);
   }
   void enrol(const std::string& node, std::uint64_t boot) {
-    applyHeld(ControlMatter::enrolNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
+    applyHeld(ControlCommandType::enrolNode, packed(NodeCommand{Address{node}, Zone{"z1"}, boot}));
   }
   void remove(const std::string& node, std::uint64_t boot) {
-    applyHeld(ControlMatter::removeNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
+    applyHeld(ControlCommandType::removeNode, packed(NodeCommand{Address{node}, Zone{"z1"}, boot}));
   }
   void drainOf(const std::string& node, std::uint64_t boot) {
-    applyHeld(ControlMatter::drainNode, packed(NodeUpdate{Address{node}, Zone{"z1"}, boot}));
+    applyHeld(ControlCommandType::drainNode, packed(NodeCommand{Address{node}, Zone{"z1"}, boot}));
   }
   UpdateStore store;
   ControlState state;
@@ -49,7 +49,7 @@
 
 TEST_CASE("restore: a replica restored from a snapshot has the same version of each topic as the others") {
   RestoredReplica ordered;
-  ordered.applyHeld(ControlMatter::plan, packed(PlanUpdate{planText}));
+  ordered.applyHeld(ControlCommandType::plan, packed(PlanCommand{planText}));
   ordered.enrol("10.0.0.1:1", 1);
   ordered.enrol("10.0.0.2:1", 2);
   RestoredReplica restored;
@@ -65,7 +65,7 @@
 
 TEST_CASE("restore: a follower older than the restored replica drops what was removed before") {
   RestoredReplica ordered;
-  ordered.applyHeld(ControlMatter::plan, packed(PlanUpdate{planText}));
+  ordered.applyHeld(ControlCommandType::plan, packed(PlanCommand{planText}));
   ordered.enrol("10.0.0.1:1", 1);
   ordered.enrol("10.0.0.2:1", 2);
   UpdateStore follower;
@@ -82,7 +82,7 @@
 
 TEST_CASE("restore: a snapshot that a running replica catches up by drops what was removed") {
   RestoredReplica ordered;
-  ordered.applyHeld(ControlMatter::plan, packed(PlanUpdate{planText}));
+  ordered.applyHeld(ControlCommandType::plan, packed(PlanCommand{planText}));
   ordered.enrol("10.0.0.1:1", 1);
   RestoredReplica late;
   REQUIRE(late.state.restore(ordered.state.snapshot()));
@@ -119,39 +119,40 @@
       Address node{"10.0.0." + std::to_string(1 + below(3)) + ":1"};
       auto held = replica.state.services().find(service);
       auto epoch = held == replica.state.services().end() ? Epoch{} : held->second.epoch;
-      auto basis = held == replica.state.services().end() ? 0 : held->second.sharesAt;
+      auto basis = held == replica.state.services().end() ? 0 : held->second.sharesPosition;
       auto before = replica.store.mark(service.get());
       auto other = replica.store.mark(service == ServiceName{"s1"} ? "s2" : "s1");
       switch (below(9)) {
         case 0:
-          replica.apply(ControlMatter::plan, packed(PlanUpdate{planOf(++mark, 1 + static_cast<int>(below(3)))}));
+          replica.apply(ControlCommandType::plan, packed(PlanCommand{planOf(++mark, 1 + static_cast<int>(below(3)))}));
           break;
         case 1:
-          replica.apply(ControlMatter::enrolNode, packed(NodeUpdate{node, Zone{"z1"}, below(3)}));
+          replica.apply(ControlCommandType::enrolNode, packed(NodeCommand{node, Zone{"z1"}, below(3)}));
           break;
         case 2:
-          replica.apply(below(2) ? ControlMatter::drainNode : ControlMatter::removeNode, packed(NodeUpdate{node, Zone{"z1"}, below(3)}));
+          replica.apply(below(2) ? ControlCommandType::drainNode : ControlCommandType::removeNode,
+                        packed(NodeCommand{node, Zone{"z1"}, below(3)}));
           break;
         case 3:
-          replica.apply(ControlMatter::enrolDatabase,
-                        packed(EnrolmentUpdate{service, database, Address{"10.2.0." + std::to_string(below(4)) + ":1"}, Zone{"z1"}, 5, 1, 1,
-                                               "replica"}));
+          replica.apply(ControlCommandType::enrolDatabase,
+                        packed(EnrolmentCommand{service, database, Address{"10.2.0." + std::to_string(below(4)) + ":1"}, Zone{"z1"}, 5, 1,
+                                                1, "replica"}));
           break;
         case 4:
-          replica.apply(ControlMatter::removeDatabase, packed(DatabaseUpdate{service, database, 1, 1, true}));
+          replica.apply(ControlCommandType::removeDatabase, packed(DatabaseCommand{service, database, 1, 1, true}));
           break;
         case 5:
-          replica.apply(below(2) ? ControlMatter::drainDatabase : ControlMatter::returnDatabase,
-                        packed(DatabaseUpdate{service, database, 1, 1, below(2) == 0}));
+          replica.apply(below(2) ? ControlCommandType::drainDatabase : ControlCommandType::returnDatabase,
+                        packed(DatabaseCommand{service, database, 1, 1, below(2) == 0}));
           break;
         case 6:
-          replica.apply(ControlMatter::recovery, packed(RecoveryUpdate{service, epoch, database, "lost", false}));
+          replica.apply(ControlCommandType::recovery, packed(RecoveryCommand{service, epoch, database, "lost", false}));
           break;
         case 7:
-          replica.apply(ControlMatter::promoted, packed(PromotedUpdate{service, epoch}));
+          replica.apply(ControlCommandType::promoted, packed(PromotedCommand{service, epoch}));
           break;
         case 8: {
-          replica.apply(ControlMatter::shares, packed(SharesUpdate{service, basis, {{node, {{BranchName{"work"}, below(11)}}}}, {}}));
+          replica.apply(ControlCommandType::shares, packed(SharesCommand{service, basis, {{node, {{BranchName{"work"}, below(11)}}}}, {}}));
           CHECK(replica.store.mark(service == ServiceName{"s1"} ? "s2" : "s1") == other);
           CHECK(replica.store.mark(service.get()) >= before);
           break;
--- a/tests/update_server_test.cpp
+++ b/tests/update_server_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "control/plan_news.hpp"
+#include "control/plan_entries.hpp"
 #include "updates/update_server.hpp"
 #include "updates/update_follower.hpp"
 #include "scale/metered_link.hpp"
@@ -16,12 +16,12 @@
 const Address sourceAddress{"10.0.0.1:1"};
 
 TopicTable planTable() {
-  FleetPlanNews news;
-  news.mark = PlanMark{1};
+  PublishedFleetPlan news;
+  news.mark = PlanVersion{1};
   for (std::size_t number = 1; number <= serviceCount; ++number)
     news.kinds[KindName{"k" + std::to_string(number)}] = ServiceName{"s" + std::to_string(number)};
   TopicTable table;
-  layPlan(table, news);
+  writePlanEntries(table, news);
   return table;
 }
 
