--- a/src/programs/agent.cpp
+++ b/src/programs/agent.cpp
@@ -31,7 +31,7 @@
       },
       daemon.rereads(program,
                      [&] {
-                       node.change(settings);
+                       node.updateSettings(settings);
                      }),
       [&]() -> std::optional<int> {
         return node.stopped() ? std::optional{0} : std::nullopt;
--- a/src/programs/replica.cpp
+++ b/src/programs/replica.cpp
@@ -44,7 +44,7 @@
       },
       daemon.rereads(program,
                      [&] {
-                       databases.change(platform);
+                       databases.setPlatformAddress(platform);
                        node.updateSettings(settings);
                      }),
       [&]() -> std::optional<int> {
--- a/src/proxy/json_database_control.hpp
+++ b/src/proxy/json_database_control.hpp
@@ -11,7 +11,7 @@
  public:
   JsonDatabaseControl(WebLink& web, Address platform) : web_(web), platform_(std::move(platform)) {}
   /// Sets the address that promotions are requested at.
-  void change(Address platform) { platform_ = std::move(platform); }
+  void setPlatformAddress(Address platform) { platform_ = std::move(platform); }
 
   Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) override;
   Task<std::optional<DatabaseStatus>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override;
--- a/src/proxy/proxy_node.hpp
+++ b/src/proxy/proxy_node.hpp
@@ -28,7 +28,7 @@
   /// state.
   void clientDisconnected(ConnectionId clientConnection);
 
-  void change(ProxySettings settings) { settings_ = std::move(settings); }
+  void updateSettings(ProxySettings settings) { settings_ = std::move(settings); }
   /// Stops taking new sessions and transactions; open ones may end.
   void drain();
   bool draining() const { return drainingSince_.has_value(); }
--- a/src/updates/agent_node.cpp
+++ b/src/updates/agent_node.cpp
@@ -38,7 +38,7 @@
   scope_.spawn(refreshReplicas());
 }
 
-void AgentNode::change(AgentSettings settings) {
+void AgentNode::updateSettings(AgentSettings settings) {
   for (const auto& seed : settings_.seeds) replicas_.erase(seed);
   settings_ = std::move(settings);
   replicas_.insert(settings_.seeds.begin(), settings_.seeds.end());
--- a/src/updates/agent_node.hpp
+++ b/src/updates/agent_node.hpp
@@ -37,7 +37,7 @@
   /// Where to follow a topic, in order of preference: the relays of the zone, then the replicas.
   std::vector<Address> sources(const Topic& topic) const;
   nlohmann::json status() const;
-  void change(AgentSettings settings);
+  void updateSettings(AgentSettings settings);
   /// Makes `/ready` fail; reports and updates go on until `stopped`.
   void drain();
   /// Whether a drained agent may end: its proxy sends no reports any more, or the time for it is over.
--- a/tests/platform/adapter_programs.cpp
+++ b/tests/platform/adapter_programs.cpp
@@ -30,7 +30,7 @@
 }
 
 void AccessProgram::settingsChanged() {
-  agent_.change(agentSettings(process_));
+  agent_.updateSettings(agentSettings(process_));
   pooler_.updateSettings(poolerSettings(process_));
 }
 
