--- a/src/control/control_state_publish.cpp
+++ b/src/control/control_state_publish.cpp
@@ -9,7 +9,7 @@
 
 void ControlState::markAllChanged() {
   changedTopics_.insert(fleetTopic);
-  for (const auto& [topic, entry] : board_.entries()) changedTopics_.insert(topic);
+  for (const auto& [topic, entry] : board_.topics()) changedTopics_.insert(topic);
   if (!plan_) return;
   for (const auto& [name, service] : plan_->services) markChanged(name);
 }
--- a/src/proxy/service_directory.cpp
+++ b/src/proxy/service_directory.cpp
@@ -23,15 +23,15 @@
 }
 
 bool ServiceDirectory::registered(const ServiceName& name) const {
-  return nodeKnown_ && node_news_.boot == boot_ && feed_.position(name.get()) >= node_news_.enrolledAt;
+  return nodeRegistered_ && nodeState_.boot == boot_ && feed_.position(name.get()) >= nodeState_.enrolledAt;
 }
 
 std::optional<std::string> ServiceDirectory::missingShareReason(const ServiceName& name) const {
   const auto* view = service(name);
-  if (!view) return "no news of the service yet";
-  if (!nodeKnown_) return "not registered";
-  if (node_news_.boot != boot_) return "registered under another boot";
-  if (feed_.position(name.get()) < node_news_.enrolledAt) return "news of the service are older than the registration";
+  if (!view) return "no updates of the service received yet";
+  if (!nodeRegistered_) return "not registered";
+  if (nodeState_.boot != boot_) return "registered under another boot";
+  if (feed_.position(name.get()) < nodeState_.enrolledAt) return "updates of the service are older than the registration of this node";
   bool granted = std::any_of(view->granted.connections.begin(), view->granted.connections.end(), [](const auto& each) {
     return each.second > 0;
   });
@@ -45,10 +45,10 @@
   fleetMark_ = entry->mark;
   if (entry->planChangeMark != fleetPlanChangeMark_) fleetPlan_ = readFleetPlan(entry->table);
   fleetPlanChangeMark_ = entry->planChangeMark;
-  auto own = entry->table.find(nodePrefix + node_.get());
-  nodeKnown_ = own != entry->table.end();
-  if (nodeKnown_)
-    if (auto news = unpacked<PublishedNode>(own->second)) node_news_ = *news;
+  auto nodeEntry = entry->table.find(nodePrefix + node_.get());
+  nodeRegistered_ = nodeEntry != entry->table.end();
+  if (nodeRegistered_)
+    if (auto node = unpacked<PublishedNode>(nodeEntry->second)) nodeState_ = *node;
 }
 
 void ServiceDirectory::readService(const ServiceName& name, const UpdateStore::TopicState& entry) {
@@ -95,12 +95,12 @@
 ServiceDirectory::KindView ServiceDirectory::kind(const KindName& name) const {
   auto found = fleetPlan_.kinds.find(name);
   if (found == fleetPlan_.kinds.end()) return {nullptr, nullptr, "unknown kind of work"};
-  const auto* own = service(found->second);
-  if (!own || !own->plan || !own->plan->kinds.contains(name)) return {nullptr, nullptr, "no news of the service yet"};
-  const auto& kind = own->plan->kinds.at(name);
-  if (!std::includes(node_news_.labels.begin(), node_news_.labels.end(), kind.machines.begin(), kind.machines.end()))
+  const auto* view = service(found->second);
+  if (!view || !view->plan || !view->plan->kinds.contains(name)) return {nullptr, nullptr, "no news of the service yet"};
+  const auto& kind = view->plan->kinds.at(name);
+  if (!std::includes(nodeState_.labels.begin(), nodeState_.labels.end(), kind.machines.begin(), kind.machines.end()))
     return {nullptr, nullptr, "this machine is not selected for the kind"};
-  return {&kind, own, {}};
+  return {&kind, view, {}};
 }
 
 const ServiceDirectory::ServiceView* ServiceDirectory::service(const ServiceName& name) const {
@@ -109,25 +109,25 @@
 }
 
 std::optional<Instant> ServiceDirectory::leaseUntil(const ServiceName& name) const {
-  auto own = feed_.leaseUntil(name.get());
-  auto fleet = feed_.leaseUntil(fleetTopic);
-  if (!own || !fleet) return std::nullopt;
-  return std::min(*own, *fleet);
+  auto serviceUntil = feed_.leaseUntil(name.get());
+  auto fleetUntil = feed_.leaseUntil(fleetTopic);
+  if (!serviceUntil || !fleetUntil) return std::nullopt;
+  return std::min(*serviceUntil, *fleetUntil);
 }
 
 bool ServiceDirectory::routesKnown() const {
   if (!anyLease() || fleetPlan_.mark == PlanVersion{}) return false;
   return std::all_of(fleetPlan_.kinds.begin(), fleetPlan_.kinds.end(), [this](const auto& each) {
-    const auto* own = service(each.second);
-    return own && own->plan && own->plan->mark >= fleetPlan_.mark && own->plan->kinds.contains(each.first) && leased(each.second);
+    const auto* view = service(each.second);
+    return view && view->plan && view->plan->mark >= fleetPlan_.mark && view->plan->kinds.contains(each.first) && leased(each.second);
   });
 }
 
 bool ServiceDirectory::servicesKnown() const {
   if (!anyLease() || fleetPlan_.mark == PlanVersion{}) return false;
   return std::all_of(fleetPlan_.kinds.begin(), fleetPlan_.kinds.end(), [this](const auto& each) {
-    const auto* own = service(each.second);
-    return own && own->plan && leased(each.second);
+    const auto* view = service(each.second);
+    return view && view->plan && leased(each.second);
   });
 }
 
@@ -136,7 +136,7 @@
 }
 
 bool ServiceDirectory::draining() const {
-  return nodeKnown_ && node_news_.draining;
+  return nodeRegistered_ && nodeState_.draining;
 }
 
 std::vector<DatabaseReport> ServiceDirectory::databaseReports(const ServiceName& name) const {
