--- a/src/engine/action_id.hpp
+++ b/src/engine/action_id.hpp
@@ -4,6 +4,7 @@
 
 namespace tamarindshift {
 
+/// The creator of an action and its number there, from 1 on without gaps.
 struct ActionId {
   ServerId serverId;
   std::uint64_t index = 0;
--- a/src/engine/core.cpp
+++ b/src/engine/core.cpp
@@ -18,26 +18,28 @@
   own_ = ServerId{settings_.address, Incarnation{incarnation_}};
   for (const auto& bytes : *records) {
     auto record = unpacked<EngineRecord>(bytes);
-    if (!record) return "the store holds an unreadable record";
+    if (!record) return "the store holds a record of " + std::to_string(bytes.size()) + " bytes that cannot be read";
     if (record->kind != EngineRecordKind::identity) continue;
     auto identity = unpacked<IdentityRecord>(record->body);
-    if (!identity) return "the store holds an unreadable identity";
-    if (identity->serverId.address != settings_.address) return "the data folder belongs to " + identity->serverId.address.get();
+    if (!identity) return "the identity record of the store cannot be read";
+    if (identity->serverId.address != settings_.address)
+      return "the data folder belongs to " + identity->serverId.address.get() + ", not to " + settings_.address.get();
     own_ = identity->serverId;
   }
   Member member{own_, Boot{incarnation_ ^ 0x9e3779b97f4a7c15ULL}};
   group_ = std::make_unique<SequencedGroup>(clock_, link_, journal_, member, settings_.seeds, settings_.timings);
   engine_ = std::make_unique<ReplicationEngine>(clock_, *group_, store_, application_, journal_, settings_.bounds);
-  if (!engine_->recover(*records)) return "the store holds an unreadable record";
+  if (!engine_->recover(*records)) return "the store holds a record that cannot be read";
   std::set<Address> addresses;
   for (const auto& server : engine_->members()) addresses.insert(server.address);
-  group_->meet(addresses);
+  group_->addKnownAddresses(addresses);
   link_.on(MessageType::joinRequest, [this](const Address& from, const std::string& bytes) {
-    onJoinAsk(from, bytes);
+    onJoinRequest(from, bytes);
   });
   link_.on(MessageType::joinSnapshot, [this](const Address& from, const std::string& bytes) {
     auto snapshot = unpacked<EngineSnapshot>(bytes);
-    if (snapshot && engine_->identity() && engine_->adopt(*snapshot)) journal_.line("joined with a snapshot from " + from.get());
+    if (snapshot && engine_->identity() && engine_->joinFromSnapshot(*snapshot))
+      journal_.line("joined the group with a snapshot from " + from.get());
   });
   link_.on(MessageType::removalNotice, [this](const Address&, const std::string& bytes) {
     auto server = unpacked<ServerId>(bytes);
@@ -45,27 +47,27 @@
   });
   if (engine_->identity()) {
     group_->setFoundingMembers(engine_->identity()->foundingMembers);
-    if (!engine_->isMember()) scope_.spawn(enter());
+    if (!engine_->isMember()) scope_.spawn(joinOrFoundGroup());
   } else {
     engine_->writeIdentity(IdentityRecord{own_, {}, false}, [this] {
-      scope_.spawn(enter());
+      scope_.spawn(joinOrFoundGroup());
     });
   }
   return std::nullopt;
 }
 
-void Core::onJoinAsk(const Address& from, const std::string& bytes) {
+void Core::onJoinRequest(const Address& from, const std::string& bytes) {
   auto joiner = unpacked<ServerId>(bytes);
   if (!joiner || !engine_->isMember()) return;
   if (engine_->hasLeft(*joiner))
     link_.pass(from, Envelope{MessageType::removalNotice, packed(*joiner)});
   else if (engine_->hasMember(*joiner))
-    link_.pass(from, Envelope{MessageType::joinSnapshot, packed(engine_->snapshotNow())});
+    link_.pass(from, Envelope{MessageType::joinSnapshot, packed(engine_->takeSnapshot())});
   else
     engine_->requestJoin(*joiner);
 }
 
-Task<void> Core::enter() {
+Task<void> Core::joinOrFoundGroup() {
   std::size_t attempt = 0;
   while (!engine_->isMember()) {
     auto identity = *engine_->identity();
@@ -76,12 +78,12 @@
       identity.founded = true;
       engine_->writeIdentity(identity, [] {});
       group_->setFoundingMembers(*agreed);
-      engine_->found();
-      journal_.line("founded a group of " + std::to_string(agreed->size()));
+      engine_->foundGroup();
+      journal_.line("founded a group of " + std::to_string(agreed->size()) + " members");
     } else if (!joined.empty()) {
       link_.pass(joined[attempt++ % joined.size()], Envelope{MessageType::joinRequest, packed(own_)});
       co_await sleep(clock_, 2 * settings_.timings.heartbeatInterval);
-    } else if (auto seeds = settings_.mayFound ? group_->unjoinedSeeds() : std::nullopt;
+    } else if (auto seeds = settings_.mayFoundGroup ? group_->unjoinedSeeds() : std::nullopt;
                seeds && seeds->contains(own_) && *seeds != identity.foundingMembers) {
       identity.foundingMembers = *seeds;
       Gate synced;
--- a/src/engine/engine_exchange.cpp
+++ b/src/engine/engine_exchange.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-// How the members of a new configuration exchange what they know, and how a primary component forms.
+// How the members of a new configuration exchange states and missing actions, and how they form a primary component.
 
 namespace tamarindshift {
 
@@ -11,10 +11,10 @@
   cpcs_.clear();
   turns_.clear();
   turn_ = 0;
-  lostAtExchange_ = lostNow();
+  lostServersAtExchange_ = lostServers();
   enterState(EngineState::exchangeStates);
   StateMessage state{serverId_,     conf_.confId,   redCut_,     greenLine(), greenBase_,
-                     attemptIndex_, primComponent_, vulnerable_, yellow_,     lostAtExchange_};
+                     attemptIndex_, primComponent_, vulnerable_, yellow_,     lostServersAtExchange_};
   syncThenSend(EngineMessageType::state, packed(state), false);
 }
 
@@ -22,19 +22,19 @@
   if (state_ != EngineState::exchangeStates || state.confId != conf_.confId) return;
   stateMessages_[state.serverId] = state;
   if (stateMessages_.size() < conf_.members.size()) return;
-  planTurns();
+  planRetransmission();
   shiftToExchangeActions();
 }
 
-void ReplicationEngine::planTurns() {
+void ReplicationEngine::planRetransmission() {
   std::uint64_t lowest = stateMessages_.begin()->second.greenLine;
   std::uint64_t highest = lowest;
-  std::map<ServerId, std::pair<std::uint64_t, ServerId>> mostRed;
+  std::map<ServerId, std::pair<std::uint64_t, ServerId>> redSources;
   for (const auto& [server, state] : stateMessages_) {
     lowest = std::min(lowest, state.greenLine);
     highest = std::max(highest, state.greenLine);
     for (const auto& [creator, cut] : state.redCut)
-      if (!mostRed.contains(creator) || cut > mostRed[creator].first) mostRed[creator] = {cut, server};
+      if (!redSources.contains(creator) || cut > redSources[creator].first) redSources[creator] = {cut, server};
   }
   greenTurn_ = lowest < highest;
   if (greenTurn_)
@@ -44,28 +44,28 @@
         break;
       }
   std::set<ServerId> redSenders;
-  for (const auto& [creator, most] : mostRed)
+  for (const auto& [creator, source] : redSources)
     for (const auto& [server, state] : stateMessages_) {
       auto cut = state.redCut.find(creator);
-      if (cut == state.redCut.end() || cut->second < most.first) redSenders.insert(most.second);
+      if (cut == state.redCut.end() || cut->second < source.first) redSenders.insert(source.second);
     }
   turns_.insert(turns_.end(), redSenders.begin(), redSenders.end());
 }
 
 void ReplicationEngine::shiftToExchangeActions() {
   enterState(EngineState::exchangeActions);
-  if (endOfRetransmission())
-    endOfRetrans();
+  if (allTurnsDone())
+    finishRetransmission();
   else
-    retrans();
+    retransmit();
 }
 
-void ReplicationEngine::retrans() {
+void ReplicationEngine::retransmit() {
   if (turns_[turn_] != serverId_) return;
   if (greenTurn_ && turn_ == 0)
-    retransGreen();
+    retransmitGreen();
   else
-    retransRed();
+    retransmitRed();
   send(EngineMessageType::endOfTurn, packed(serverId_), false);
 }
 
@@ -76,20 +76,20 @@
   return bytes;
 }
 
-void ReplicationEngine::retransGreen() {
+void ReplicationEngine::retransmitGreen() {
   std::uint64_t lowest = greenLine();
   for (const auto& [server, state] : stateMessages_) lowest = std::min(lowest, state.greenLine);
   bool discarded = lowest < greenBase_;
   auto missingBytes = discarded ? 0 : greenBytesAfter(lowest);
   if (discarded || missingBytes > bounds_.snapshotThresholdBytes) {
-    auto snapshot = packed(snapshotNow());
+    auto snapshot = packed(takeSnapshot());
     if (discarded || snapshot.size() < missingBytes) return send(EngineMessageType::snapshot, std::move(snapshot), false);
   }
   for (auto position = lowest + 1; position <= greenLine(); ++position)
     send(EngineMessageType::green, packed(GreenMessage{position, green_[position - greenBase_ - 1]}), false);
 }
 
-void ReplicationEngine::retransRed() {
+void ReplicationEngine::retransmitRed() {
   for (const auto& [id, action] : red_) {
     bool missing = false;
     for (const auto& [server, state] : stateMessages_) {
@@ -111,18 +111,18 @@
     if (snapshot && snapshot->greenLine > greenLine()) {
       journal_.count("engine.snapshots_taken");
       applySnapshot(*snapshot);
-      store_.rewrite(wholeState());
+      store_.rewrite(fullState());
     }
   } else if (message.type == EngineMessageType::endOfTurn && state_ == EngineState::exchangeActions) {
     ++turn_;
-    if (endOfRetransmission())
-      endOfRetrans();
+    if (allTurnsDone())
+      finishRetransmission();
     else
-      retrans();
+      retransmit();
   }
 }
 
-void ReplicationEngine::endOfRetrans() {
+void ReplicationEngine::finishRetransmission() {
   for (const auto& [server, state] : stateMessages_)
     if (auto line = greenLines_.find(server); line != greenLines_.end()) line->second = std::max(line->second, state.greenLine);
   computeKnowledge();
@@ -133,16 +133,16 @@
     syncThenSend(EngineMessageType::cpc, packed(CpcMessage{serverId_, conf_.confId}), true);
   } else {
     enterState(EngineState::nonPrim);
-    handleBuffRequests();
+    handleBufferedRequests();
   }
 }
 
 void ReplicationEngine::computeKnowledge() {
-  auto newer = [](const PrimComponent& left, const PrimComponent& right) {
+  auto older = [](const PrimComponent& left, const PrimComponent& right) {
     return std::tie(left.primIndex, left.attemptIndex) < std::tie(right.primIndex, right.attemptIndex);
   };
   for (const auto& [server, state] : stateMessages_)
-    if (newer(primComponent_, state.primComponent)) primComponent_ = state.primComponent;
+    if (older(primComponent_, state.primComponent)) primComponent_ = state.primComponent;
 
   attemptIndex_ = 0;
   std::optional<std::vector<ActionId>> common;
@@ -175,7 +175,7 @@
     bits.insert(server);
     bits.insert(state.vulnerable.bits.begin(), state.vulnerable.bits.end());
   }
-  for (const auto& [server, state] : stateMessages_) bits.insert(state.lost.begin(), state.lost.end());
+  for (const auto& [server, state] : stateMessages_) bits.insert(state.lostServers.begin(), state.lostServers.end());
   for (auto& [server, state] : stateMessages_) {
     if (!state.vulnerable.valid) continue;
     state.vulnerable.bits = bits;
@@ -190,7 +190,7 @@
   std::set<ServerId> lost;
   for (const auto& [server, state] : stateMessages_) {
     if (state.vulnerable.valid) return false;
-    lost.insert(state.lost.begin(), state.lost.end());
+    lost.insert(state.lostServers.begin(), state.lostServers.end());
   }
   std::size_t groupPresent = 0;
   for (const auto& [server, line] : greenLines_) groupPresent += conf_.members.contains(server);
@@ -218,7 +218,7 @@
   enterState(EngineState::regPrim);
   journal_.count("engine.primaries_installed");
   syncThen([] {});
-  handleBuffRequests();
+  handleBufferedRequests();
 }
 
 void ReplicationEngine::install() {
--- a/src/engine/engine_records.hpp
+++ b/src/engine/engine_records.hpp
@@ -5,31 +5,41 @@
 #include "group/configuration.hpp"
 #include "group/delivery.hpp"
 
+// Records in the store of an engine. Numbers and field order are part of the stored format.
+
 namespace tamarindshift {
 
 enum class EngineRecordKind : std::uint8_t {
   identity = 1,
   snapshot = 2,
   meta = 3,
+  /// An own action that has not come back in the order yet.
   ongoing = 4,
   red = 5,
+  /// Only the id of an action that a `red` record holds.
   green = 6,
+  /// A durable message of the group that was received and is not delivered yet.
   received = 7,
 };
 
+/// Envelope of all records.
 struct EngineRecord {
   EngineRecordKind kind{};
   std::string body;
   MSGPACK_DEFINE(kind, body)
 };
 
+/// Written before a server takes part in anything, so that a restart keeps its identity.
 struct IdentityRecord {
   ServerId serverId;
+  /// The servers with which this one wants to found the group or has founded it; empty after a join.
   std::set<ServerId> foundingMembers;
+  /// Whether this server is a member of a group, by founding or by joining it.
   bool founded = false;
   MSGPACK_DEFINE(serverId, foundingMembers, founded)
 };
 
+/// The engine's state except for its actions, written at each change.
 struct MetaRecord {
   EngineState state = EngineState::nonPrim;
   Configuration conf;
--- a/src/engine/engine_storage.cpp
+++ b/src/engine/engine_storage.cpp
@@ -2,17 +2,17 @@
 
 #include <algorithm>
 
-// What the engine writes to its store, and how it starts from that or from another member's snapshot.
+// What the engine writes to its store, and how it starts from the store or from the snapshot of another member.
 
 namespace tamarindshift {
 
-EngineSnapshot ReplicationEngine::snapshotNow() const {
-  return EngineSnapshot{greenLine(), greenCut_, greenLines_, left_, application_.snapshot()};
+EngineSnapshot ReplicationEngine::takeSnapshot() const {
+  return EngineSnapshot{greenLine(), greenCut_, greenLines_, formerMembers_, application_.snapshot()};
 }
 
 void ReplicationEngine::applySnapshot(const EngineSnapshot& snapshot) {
   if (!application_.restore(snapshot.application)) {
-    journal_.line("snapshot unreadable");
+    journal_.line("snapshot with green line " + std::to_string(snapshot.greenLine) + " ignored: the application cannot read it");
     return;
   }
   green_.clear();
@@ -20,7 +20,7 @@
   greenBase_ = snapshot.greenLine;
   greenCut_ = snapshot.greenCut;
   greenLines_ = snapshot.greenLines;
-  left_ = snapshot.left;
+  formerMembers_ = snapshot.formerMembers;
   if (auto own = greenLines_.find(serverId_); own != greenLines_.end()) own->second = greenLine();
   for (const auto& [server, cut] : greenCut_) redCut_[server] = std::max(redCut_[server], cut);
   if (auto own = redCut_.find(serverId_); own != redCut_.end()) actionIndex_ = std::max(actionIndex_, own->second);
@@ -31,19 +31,19 @@
   std::erase_if(ongoingQueue_, [this](const auto& each) {
     return each.first <= greenCut_[serverId_];
   });
-  if (left_.contains(serverId_)) removedFromGroup_ = true;
+  if (formerMembers_.contains(serverId_)) removedFromGroup_ = true;
   changed_.open();
 }
 
-void ReplicationEngine::writeIdentity(const IdentityRecord& identity, std::function<void()> synced) {
+void ReplicationEngine::writeIdentity(const IdentityRecord& identity, std::function<void()> onSynced) {
   identity_ = identity;
   serverId_ = identity.serverId;
-  record(EngineRecordKind::identity, packed(identity));
-  syncThen(std::move(synced));
+  appendRecord(EngineRecordKind::identity, packed(identity));
+  syncThen(std::move(onSynced));
 }
 
-void ReplicationEngine::found() {
-  startFromFoundation();
+void ReplicationEngine::foundGroup() {
+  startFromFoundingMembers();
   started_ = true;
   recordMeta();
   syncThen([this] {
@@ -51,31 +51,31 @@
   });
 }
 
-void ReplicationEngine::startFromFoundation() {
+void ReplicationEngine::startFromFoundingMembers() {
   for (const auto& server : identity_->foundingMembers) greenLines_[server] = 0;
   primComponent_ = PrimComponent{0, 0, identity_->foundingMembers};
 }
 
-bool ReplicationEngine::adopt(const EngineSnapshot& snapshot) {
+bool ReplicationEngine::joinFromSnapshot(const EngineSnapshot& snapshot) {
   if (started_ || !snapshot.greenLines.contains(serverId_)) return false;
   applySnapshot(snapshot);
   identity_->founded = true;
   identity_->foundingMembers.clear();
   started_ = true;
-  store_.rewrite(wholeState());
+  store_.rewrite(fullState());
   syncThen([this] {
     group_.join(*this);
   });
   return true;
 }
 
-std::vector<std::string> ReplicationEngine::wholeState() const {
+std::vector<std::string> ReplicationEngine::fullState() const {
   std::vector<std::string> records;
   auto add = [&records](EngineRecordKind kind, std::string body) {
     records.push_back(packed(EngineRecord{kind, std::move(body)}));
   };
   if (identity_) add(EngineRecordKind::identity, packed(*identity_));
-  add(EngineRecordKind::snapshot, packed(snapshotNow()));
+  add(EngineRecordKind::snapshot, packed(takeSnapshot()));
   add(EngineRecordKind::meta, packed(meta()));
   for (const auto& [index, action] : ongoingQueue_) add(EngineRecordKind::ongoing, packed(action));
   for (const auto& [id, action] : red_) add(EngineRecordKind::red, packed(action));
@@ -84,20 +84,20 @@
   return records;
 }
 
-void ReplicationEngine::rewriteWhenLong() {
-  if (store_.sizeBytes() < std::max(bounds_.rewriteThresholdBytes, 2 * rewrittenLength_)) return;
+void ReplicationEngine::rewriteStoreIfLarge() {
+  if (store_.sizeBytes() < std::max(bounds_.rewriteThresholdBytes, 2 * rewrittenBytes_)) return;
   journal_.count("store.rewrites");
-  store_.rewrite(wholeState());
-  rewrittenLength_ = store_.sizeBytes();
+  store_.rewrite(fullState());
+  rewrittenBytes_ = store_.sizeBytes();
 }
 
-void ReplicationEngine::loadRecord(const EngineRecord& record) {
+void ReplicationEngine::replayRecord(const EngineRecord& record) {
   switch (record.kind) {
     case EngineRecordKind::identity:
       identity_ = unpacked<IdentityRecord>(record.body);
       if (!identity_) return;
       serverId_ = identity_->serverId;
-      if (identity_->founded && greenLines_.empty()) startFromFoundation();
+      if (identity_->founded && greenLines_.empty()) startFromFoundingMembers();
       return;
     case EngineRecordKind::snapshot:
       if (auto snapshot = unpacked<EngineSnapshot>(record.body)) applySnapshot(*snapshot);
@@ -143,7 +143,7 @@
   for (const auto& bytes : records) {
     auto record = unpacked<EngineRecord>(bytes);
     if (!record) return false;
-    loadRecord(*record);
+    replayRecord(*record);
   }
   std::erase_if(undelivered_, [this](const Delivery& delivery) {
     return delivery.view != conf_.confId;
@@ -156,7 +156,8 @@
   for (const auto& [index, action] : std::map<std::uint64_t, Action>{ongoingQueue_})
     if (redCut_[serverId_] < index) markRed(action);
   recordMeta();
-  journal_.line("recovered green " + std::to_string(greenLine()) + " red " + std::to_string(red_.size()));
+  journal_.line("recovered from the store: green line " + std::to_string(greenLine()) + ", " + std::to_string(red_.size()) +
+                " red actions");
   syncThen([this] {
     group_.join(*this);
   });
--- a/src/engine/replication_engine.cpp
+++ b/src/engine/replication_engine.cpp
@@ -33,12 +33,12 @@
 void ReplicationEngine::enterState(EngineState state) {
   if (state_ == state) return;
   state_ = state;
-  if (!replaying_) journal_.line(std::string("engine ") + text(state) + " green " + std::to_string(greenLine()));
+  if (!replaying_) journal_.line(std::string("engine entered ") + text(state) + ", green line " + std::to_string(greenLine()));
   recordMeta();
   changed_.open();
 }
 
-void ReplicationEngine::record(EngineRecordKind kind, std::string body) {
+void ReplicationEngine::appendRecord(EngineRecordKind kind, std::string body) {
   if (!replaying_) store_.append(packed(EngineRecord{kind, std::move(body)}));
 }
 
@@ -47,7 +47,7 @@
 }
 
 void ReplicationEngine::recordMeta() {
-  record(EngineRecordKind::meta, packed(meta()));
+  appendRecord(EngineRecordKind::meta, packed(meta()));
 }
 
 void ReplicationEngine::syncThen(std::function<void()> then) {
@@ -67,21 +67,21 @@
 }
 
 Task<OrderOutcome> ReplicationEngine::order(std::string update, Instant deadline) {
-  auto waiting = std::make_shared<Waiting>();
+  auto pending = std::make_shared<PendingRequest>();
   Action action;
   action.update = std::move(update);
-  request(std::move(action), waiting);
-  if (!waiting->outcome) co_await waiting->gate.wait(clock_, deadline);
-  if (waiting->outcome) co_return *waiting->outcome;
-  auto buffered = std::find_if(buffered_.begin(), buffered_.end(), [&](const Buffered& each) {
-    return each.waiting == waiting;
+  handleRequest(std::move(action), pending);
+  if (!pending->outcome) co_await pending->gate.wait(clock_, deadline);
+  if (pending->outcome) co_return *pending->outcome;
+  auto buffered = std::find_if(bufferedRequests_.begin(), bufferedRequests_.end(), [&](const BufferedRequest& each) {
+    return each.pending == pending;
   });
-  if (buffered != buffered_.end()) {
-    buffered_.erase(buffered);
+  if (buffered != bufferedRequests_.end()) {
+    bufferedRequests_.erase(buffered);
     co_return OrderOutcome{OrderStatus::refused, 0, {}};
   }
-  std::erase_if(waiting_, [&](const auto& each) {
-    return each.second == waiting;
+  std::erase_if(pendingRequests_, [&](const auto& each) {
+    return each.second == pending;
   });
   co_return OrderOutcome{OrderStatus::unknown, 0, {}};
 }
@@ -95,7 +95,7 @@
   Action action;
   action.type = ActionType::persistentJoin;
   action.subject = joiner;
-  request(std::move(action), std::make_shared<Waiting>());
+  handleRequest(std::move(action), std::make_shared<PendingRequest>());
 }
 
 void ReplicationEngine::requestLeave(const ServerId& leaver) {
@@ -103,35 +103,35 @@
   Action action;
   action.type = ActionType::persistentLeave;
   action.subject = leaver;
-  request(std::move(action), std::make_shared<Waiting>());
+  handleRequest(std::move(action), std::make_shared<PendingRequest>());
 }
 
-void ReplicationEngine::request(Action action, std::shared_ptr<Waiting> waiting) {
-  auto waitingBytes = this->waitingBytes();
-  bool tooMuch = waitingBytes > 0 && waitingBytes + action.update.size() > bounds_.maxPendingBytes;
+void ReplicationEngine::handleRequest(Action action, std::shared_ptr<PendingRequest> pending) {
+  auto pendingBytes = this->pendingBytes();
+  bool tooMuch = pendingBytes > 0 && pendingBytes + action.update.size() > bounds_.maxPendingBytes;
   bool refused = !started_ || store_.refusesWrites() || tooMuch ||
                  (state_ == EngineState::nonPrim && red_.size() + ongoingQueue_.size() >= bounds_.maxRedActions) ||
-                 buffered_.size() >= bounds_.maxBufferedRequests;
+                 bufferedRequests_.size() >= bounds_.maxBufferedRequests;
   if (refused) {
     journal_.count("engine.requests_refused");
-    waiting->outcome = OrderOutcome{OrderStatus::refused, 0, {}};
+    pending->outcome = OrderOutcome{OrderStatus::refused, 0, {}};
     return;
   }
   if (state_ == EngineState::regPrim || state_ == EngineState::nonPrim) {
-    createAction(std::move(action), std::move(waiting));
+    createAction(std::move(action), std::move(pending));
     syncThen([this, view = conf_.confId, index = actionIndex_] {
       if (view == conf_.confId) generate(ActionId{serverId_, index});
     });
   } else {
-    buffered_.push_back(Buffered{std::move(action), std::move(waiting)});
+    bufferedRequests_.push_back(BufferedRequest{std::move(action), std::move(pending)});
   }
 }
 
-void ReplicationEngine::createAction(Action action, std::shared_ptr<Waiting> waiting) {
+void ReplicationEngine::createAction(Action action, std::shared_ptr<PendingRequest> pending) {
   action.actionId = ActionId{serverId_, ++actionIndex_};
   action.greenLine = greenLine();
-  waiting_[actionIndex_] = std::move(waiting);
-  record(EngineRecordKind::ongoing, packed(action));
+  pendingRequests_[actionIndex_] = std::move(pending);
+  appendRecord(EngineRecordKind::ongoing, packed(action));
   ongoingQueue_.emplace(actionIndex_, std::move(action));
 }
 
@@ -142,9 +142,9 @@
   send(EngineMessageType::action, packed(found->second), true);
 }
 
-void ReplicationEngine::handleBuffRequests() {
-  for (auto& buffered : buffered_) createAction(std::move(buffered.action), std::move(buffered.waiting));
-  buffered_.clear();
+void ReplicationEngine::handleBufferedRequests() {
+  for (auto& buffered : bufferedRequests_) createAction(std::move(buffered.action), std::move(buffered.pending));
+  bufferedRequests_.clear();
   if (ongoingQueue_.empty()) return;
   syncThen([this, view = conf_.confId] {
     if (view != conf_.confId) return;
@@ -161,15 +161,15 @@
     undelivered_.push_back(delivery);
     if (!delivery.durable) continue;
     durable = true;
-    record(EngineRecordKind::received, packed(delivery));
+    appendRecord(EngineRecordKind::received, packed(delivery));
   }
-  if (!durable && durableSyncs_ == 0) {
+  if (!durable && pendingDurableSyncs_ == 0) {
     stable();
     return;
   }
-  ++durableSyncs_;
+  ++pendingDurableSyncs_;
   syncThen([this, stable = std::move(stable)] {
-    --durableSyncs_;
+    --pendingDurableSyncs_;
     stable();
   });
 }
@@ -182,7 +182,7 @@
     return;
   }
   onMessage(*message);
-  rewriteWhenLong();
+  rewriteStoreIfLarge();
 }
 
 void ReplicationEngine::onMessage(const EngineMessage& message) {
@@ -265,10 +265,11 @@
   auto& cut = redCut_[action.actionId.serverId];
   if (cut + 1 != action.actionId.index) return;
   ++cut;
-  // a disk that lost its tail knows fewer own actions than the others hold: none of their numbers is used again
+  // If the disk lost its last records, other members hold own actions that this one no longer knows: their indices must not be
+  // used again.
   if (action.actionId.serverId == serverId_) actionIndex_ = std::max(actionIndex_, cut);
   red_.emplace(action.actionId, action);
-  record(EngineRecordKind::red, packed(action));
+  appendRecord(EngineRecordKind::red, packed(action));
   if (action.actionId.serverId == serverId_) ongoingQueue_.erase(action.actionId.index);
 }
 
@@ -289,7 +290,7 @@
   greenBytes_ += action.update.size();
   greenCut_[action.actionId.serverId] = action.actionId.index;
   if (auto own = greenLines_.find(serverId_); own != greenLines_.end()) own->second = greenLine();
-  record(EngineRecordKind::green, packed(action.actionId));
+  appendRecord(EngineRecordKind::green, packed(action.actionId));
   auto position = greenLine();
   std::string reply;
   if (action.type == ActionType::action)
@@ -297,7 +298,7 @@
   else
     applyMembership(action);
   journal_.count("engine.greens");
-  resolve(action, position, std::move(reply));
+  completeRequest(action, position, std::move(reply));
   discardWhite();
   changed_.open();
 }
@@ -305,13 +306,13 @@
 void ReplicationEngine::applyMembership(const Action& action) {
   auto leave = [this](const ServerId& server) {
     greenLines_.erase(server);
-    left_.insert(server);
+    formerMembers_.insert(server);
     if (server == serverId_) removedFromGroup_ = true;
-    if (!replaying_) journal_.line("left " + text(server));
+    if (!replaying_) journal_.line("member " + text(server) + " left the group");
   };
   if (action.type == ActionType::persistentLeave) {
     if (greenLines_.contains(action.subject)) leave(action.subject);
-  } else if (!greenLines_.contains(action.subject) && !left_.contains(action.subject)) {
+  } else if (!greenLines_.contains(action.subject) && !formerMembers_.contains(action.subject)) {
     bool outdated = false;
     for (const auto& server : members()) {
       if (server.address != action.subject.address) continue;
@@ -319,22 +320,22 @@
       if (!outdated) leave(server);
     }
     if (outdated) {
-      left_.insert(action.subject);
+      formerMembers_.insert(action.subject);
     } else {
       greenLines_[action.subject] = greenLine();
-      if (!replaying_) journal_.line("joined " + text(action.subject));
+      if (!replaying_) journal_.line("member " + text(action.subject) + " joined the group");
     }
   }
   recordMeta();
 }
 
-void ReplicationEngine::resolve(const Action& action, std::uint64_t position, std::string reply) {
+void ReplicationEngine::completeRequest(const Action& action, std::uint64_t position, std::string reply) {
   if (action.actionId.serverId != serverId_) return;
-  auto found = waiting_.find(action.actionId.index);
-  if (found == waiting_.end()) return;
+  auto found = pendingRequests_.find(action.actionId.index);
+  if (found == pendingRequests_.end()) return;
   found->second->outcome = OrderOutcome{OrderStatus::green, position, std::move(reply)};
   found->second->gate.open();
-  waiting_.erase(found);
+  pendingRequests_.erase(found);
 }
 
 void ReplicationEngine::discardWhite() {
@@ -346,15 +347,15 @@
   }
 }
 
-std::size_t ReplicationEngine::waitingBytes() const {
+std::size_t ReplicationEngine::pendingBytes() const {
   std::size_t bytes = 0;
   for (const auto& [index, action] : ongoingQueue_) bytes += action.update.size();
   for (const auto& [id, action] : red_) bytes += action.update.size();
-  for (const auto& buffered : buffered_) bytes += buffered.action.update.size();
+  for (const auto& buffered : bufferedRequests_) bytes += buffered.action.update.size();
   return bytes;
 }
 
-std::set<ServerId> ReplicationEngine::lostNow() const {
+std::set<ServerId> ReplicationEngine::lostServers() const {
   std::set<ServerId> lost;
   auto newcomers = group_.unjoinedServers();
   for (const auto& [server, line] : greenLines_)
@@ -364,7 +365,7 @@
 }
 
 bool ReplicationEngine::wantsExchange() const {
-  return state_ == EngineState::nonPrim && started_ && lostNow() != lostAtExchange_;
+  return state_ == EngineState::nonPrim && started_ && lostServers() != lostServersAtExchange_;
 }
 
 Coverage ReplicationEngine::coverage(const std::set<ServerId>& servers) const {
--- a/src/engine/yellow.hpp
+++ b/src/engine/yellow.hpp
@@ -6,6 +6,7 @@
 
 namespace tamarindshift {
 
+/// Actions that were ordered while a primary component ended: its other members may have made them green, in this order.
 struct Yellow {
   bool valid = false;
   std::vector<ActionId> actionIds;
--- a/src/group/configuration.hpp
+++ b/src/group/configuration.hpp
@@ -6,6 +6,7 @@
 
 namespace tamarindshift {
 
+/// A regular configuration of Extended Virtual Synchrony: a view and the servers in it.
 struct Configuration {
   ViewId confId;
   std::set<ServerId> members;
--- a/src/group/sequenced_group.cpp
+++ b/src/group/sequenced_group.cpp
@@ -5,28 +5,34 @@
 namespace tamarindshift {
 
 SequencedGroup::SequencedGroup(Clock& clock, PeerLink& link, Journal& journal, Member own, std::set<Address> seeds, GroupTimings timings)
-    : clock_(clock), link_(link), journal_(journal), own_(std::move(own)), seeds_(std::move(seeds)), timings_(timings), known_(seeds_) {
-  known_.erase(own_.server.address);
-  route(MessageType::groupHeartbeat, &SequencedGroup::onHeartbeat);
-  route(MessageType::groupSubmit, &SequencedGroup::onSubmit);
-  route(MessageType::groupOrdered, &SequencedGroup::onOrdered);
-  route(MessageType::groupAcked, &SequencedGroup::onAcked);
-  route(MessageType::groupSafe, &SequencedGroup::onSafe);
-  route(MessageType::groupPrepare, &SequencedGroup::onPrepare);
-  route(MessageType::groupFlushed, &SequencedGroup::onFlushed);
-  route(MessageType::groupInstall, &SequencedGroup::onInstall);
+    : clock_(clock),
+      link_(link),
+      journal_(journal),
+      own_(std::move(own)),
+      seeds_(std::move(seeds)),
+      timings_(timings),
+      knownAddresses_(seeds_) {
+  knownAddresses_.erase(own_.server.address);
+  registerHandler(MessageType::groupHeartbeat, &SequencedGroup::onHeartbeat);
+  registerHandler(MessageType::groupSubmit, &SequencedGroup::onSubmit);
+  registerHandler(MessageType::groupOrdered, &SequencedGroup::onOrdered);
+  registerHandler(MessageType::groupAcked, &SequencedGroup::onAcked);
+  registerHandler(MessageType::groupSafe, &SequencedGroup::onSafe);
+  registerHandler(MessageType::groupPrepare, &SequencedGroup::onPrepare);
+  registerHandler(MessageType::groupFlushed, &SequencedGroup::onFlushed);
+  registerHandler(MessageType::groupInstall, &SequencedGroup::onInstall);
   link_.onRefused([this](const Address& peer) {
     queue_.put([this, peer] {
       onRefused(peer);
     });
   });
-  scope_.spawn(work());
-  scope_.spawn(heartbeat());
+  scope_.spawn(runCommands());
+  scope_.spawn(heartbeatLoop());
 }
 
 template <class Body>
-void SequencedGroup::route(MessageType matter, void (SequencedGroup::*handler)(const Body&)) {
-  link_.on(matter, [this, handler](const Address&, const std::string& bytes) {
+void SequencedGroup::registerHandler(MessageType type, void (SequencedGroup::*handler)(const Body&)) {
+  link_.on(type, [this, handler](const Address&, const std::string& bytes) {
     auto body = unpacked<Body>(bytes);
     if (!body) {
       journal_.count("group.unreadable");
@@ -38,19 +44,19 @@
   });
 }
 
-Task<void> SequencedGroup::work() {
+Task<void> SequencedGroup::runCommands() {
   for (;;) {
     auto command = co_await queue_.take(clock_);
     command();
   }
 }
 
-Task<void> SequencedGroup::heartbeat() {
+Task<void> SequencedGroup::heartbeatLoop() {
   for (;;) {
     queue_.put([this] {
       sendHeartbeats();
-      prepareAgain();
-      considerForming();
+      resendPrepare();
+      considerViewChange();
     });
     co_await sleep(clock_, timings_.heartbeatInterval);
   }
@@ -60,16 +66,16 @@
   listener_ = &listener;
 }
 
-void SequencedGroup::meet(const std::set<Address>& addresses) {
+void SequencedGroup::addKnownAddresses(const std::set<Address>& addresses) {
   for (const auto& address : addresses)
-    if (address != own_.server.address) known_.insert(address);
+    if (address != own_.server.address) knownAddresses_.insert(address);
 }
 
 void SequencedGroup::retire() {
   retiring_ = true;
   queue_.put([this] {
     sendHeartbeats();
-    considerForming();
+    considerViewChange();
   });
 }
 
@@ -85,7 +91,7 @@
       continue;
     }
     auto found = peers_.find(seed);
-    if (found == peers_.end() || clock_.now() - found->second.heardAt > timings_.suspicionTimeout) return std::nullopt;
+    if (found == peers_.end() || clock_.now() - found->second.lastContactAt > timings_.suspicionTimeout) return std::nullopt;
     if (found->second.heartbeat.joined) return std::nullopt;
     servers.insert(found->second.heartbeat.from.server);
   }
@@ -108,7 +114,7 @@
 std::vector<Address> SequencedGroup::joinedPeers() const {
   std::vector<Address> joined;
   for (const auto& [address, peer] : peers_)
-    if (peer.heartbeat.joined && clock_.now() - peer.heardAt <= timings_.suspicionTimeout) joined.push_back(address);
+    if (peer.heartbeat.joined && clock_.now() - peer.lastContactAt <= timings_.suspicionTimeout) joined.push_back(address);
   return joined;
 }
 
@@ -120,34 +126,34 @@
   heartbeat.view = view_;
   heartbeat.flushing = flushing_;
   heartbeat.highestCounter = highestCounter_;
-  heartbeat.received = received_;
-  heartbeat.stable = stable_;
-  heartbeat.safe = safe_;
+  heartbeat.received = receivedUpTo_;
+  heartbeat.stable = stableUpTo_;
+  heartbeat.safe = safeUpTo_;
   heartbeat.sentAt = clock_.now().time_since_epoch();
-  heartbeat.knownAddresses = known_;
+  heartbeat.knownAddresses = knownAddresses_;
   heartbeat.foundingMembers = foundingMembers_;
   heartbeat.retiring = retiring_;
   for (const auto& [address, peer] : peers_)
-    if (clock_.now() - peer.heardAt <= timings_.suspicionTimeout)
+    if (clock_.now() - peer.lastContactAt <= timings_.suspicionTimeout)
       heartbeat.lastHeartbeatSentAt[peer.heartbeat.from] = peer.heartbeat.sentAt;
-  for (const auto& address : known_) send(address, MessageType::groupHeartbeat, heartbeat);
-  submitAgain();
+  for (const auto& address : knownAddresses_) send(address, MessageType::groupHeartbeat, heartbeat);
+  resendSubmits();
 }
 
-void SequencedGroup::submitAgain() {
+void SequencedGroup::resendSubmits() {
   if (flushing_) return;
   std::size_t bytes = 0;
   for (auto& unordered : unordered_) {
     if (clock_.now() - unordered.sentAt <= 2 * timings_.heartbeatInterval) continue;
     submit(unordered);
     bytes += unordered.payload.size();
-    if (bytes >= repeatedBytes) return;
+    if (bytes >= resendBytesPerHeartbeat) return;
   }
 }
 
-void SequencedGroup::orderAgain(const Address& peer, std::uint64_t received) {
+void SequencedGroup::resendOrdered(const Address& peer, std::uint64_t received) {
   std::size_t bytes = 0;
-  for (auto next = ordered_.upper_bound(received); next != ordered_.end() && bytes < repeatedBytes; ++next) {
+  for (auto next = ordered_.upper_bound(received); next != ordered_.end() && bytes < resendBytesPerHeartbeat; ++next) {
     send(peer, MessageType::groupOrdered, next->second);
     bytes += next->second.delivery.payload.size();
   }
@@ -166,61 +172,62 @@
     return;
   std::uint64_t receivedBefore = peer.heartbeat.view == heartbeat.view ? peer.heartbeat.received : 0;
   peer.heartbeat = heartbeat;
-  peer.heardAt = clock_.now();
-  known_.insert(heartbeat.from.server.address);
+  peer.lastContactAt = clock_.now();
+  knownAddresses_.insert(heartbeat.from.server.address);
   for (const auto& address : heartbeat.knownAddresses)
-    if (address != own_.server.address) known_.insert(address);
+    if (address != own_.server.address) knownAddresses_.insert(address);
   highestCounter_ = std::max(highestCounter_, heartbeat.highestCounter);
 
   bool sameView = !flushing_ && !heartbeat.flushing && heartbeat.view == view_;
   if (!sameView) {
     peer.confirmedAt.reset();
-    peer.proofWaiting.reset();
+    peer.pendingConfirmation.reset();
     return;
   }
-  auto heard = heartbeat.lastHeartbeatSentAt.find(own_);
-  if (heard != heartbeat.lastHeartbeatSentAt.end() && !peer.proofWaiting) {
-    peer.proofWaiting = Instant{heard->second};
-    peer.proofNeeds = heartbeat.safe;
+  auto echo = heartbeat.lastHeartbeatSentAt.find(own_);
+  if (echo != heartbeat.lastHeartbeatSentAt.end() && !peer.pendingConfirmation) {
+    peer.pendingConfirmation = Instant{echo->second};
+    peer.pendingConfirmationNeeds = heartbeat.safe;
   }
   if (isSequencer()) {
     recordAck(heartbeat.from, heartbeat.stable);
-    if (heartbeat.received == receivedBefore) orderAgain(heartbeat.from.server.address, heartbeat.received);
+    if (heartbeat.received == receivedBefore) resendOrdered(heartbeat.from.server.address, heartbeat.received);
   } else if (heartbeat.from == *members_.begin()) {
     advanceSafe(heartbeat.safe);
   }
-  settleProof(peer);
+  applyPendingConfirmation(peer);
 }
 
-void SequencedGroup::settleProof(Peer& peer) {
-  if (!peer.proofWaiting || delivered_ < peer.proofNeeds) return;
-  peer.confirmedAt = std::max(peer.confirmedAt.value_or(Instant::min()), *peer.proofWaiting);
-  peer.proofWaiting.reset();
+void SequencedGroup::applyPendingConfirmation(Peer& peer) {
+  if (!peer.pendingConfirmation || deliveredUpTo_ < peer.pendingConfirmationNeeds) return;
+  peer.confirmedAt = std::max(peer.confirmedAt.value_or(Instant::min()), *peer.pendingConfirmation);
+  peer.pendingConfirmation.reset();
 }
 
 void SequencedGroup::onRefused(const Address& address) {
   auto found = peers_.find(address);
   if (found == peers_.end()) return;
-  found->second.endedAt = clock_.now();
-  considerForming();
+  found->second.connectionRefusedAt = clock_.now();
+  considerViewChange();
 }
 
 std::optional<Instant> SequencedGroup::viewConfirmedAt() const {
   if (flushing_ || members_.empty()) return std::nullopt;
-  Instant proved = clock_.now();
+  Instant confirmed = clock_.now();
   for (const auto& member : members_) {
     if (member == own_) continue;
     auto found = peers_.find(member.server.address);
     if (found == peers_.end() || found->second.heartbeat.from != member || !found->second.confirmedAt) return std::nullopt;
-    proved = std::min(proved, *found->second.confirmedAt);
+    confirmed = std::min(confirmed, *found->second.confirmedAt);
   }
-  return proved;
+  return confirmed;
 }
 
 std::set<ServerId> SequencedGroup::unjoinedServers() const {
   std::set<ServerId> servers;
   for (const auto& [address, peer] : peers_)
-    if (!peer.heartbeat.joined && clock_.now() - peer.heardAt <= timings_.suspicionTimeout) servers.insert(peer.heartbeat.from.server);
+    if (!peer.heartbeat.joined && clock_.now() - peer.lastContactAt <= timings_.suspicionTimeout)
+      servers.insert(peer.heartbeat.from.server);
   return servers;
 }
 
@@ -228,10 +235,10 @@
   std::set<Member> members{own_};
   if (retiring_ || (listener_ && listener_->suspended())) return members;
   for (const auto& [address, peer] : peers_) {
-    if (!peer.heartbeat.joined || clock_.now() - peer.heardAt > timings_.suspicionTimeout) continue;
+    if (!peer.heartbeat.joined || clock_.now() - peer.lastContactAt > timings_.suspicionTimeout) continue;
     if (!peer.heartbeat.lastHeartbeatSentAt.contains(own_) || peer.heartbeat.retiring) continue;
-    if (peer.refusedUntil && *peer.refusedUntil > clock_.now()) continue;
-    if (peer.endedAt && *peer.endedAt >= peer.heardAt) continue;
+    if (peer.excludedUntil && *peer.excludedUntil > clock_.now()) continue;
+    if (peer.connectionRefusedAt && *peer.connectionRefusedAt >= peer.lastContactAt) continue;
     members.insert(peer.heartbeat.from);
   }
   return members;
@@ -239,13 +246,13 @@
 
 void SequencedGroup::multicast(const ViewId& view, std::string payload, bool durable) {
   if (flushing_ || view != view_) return;
-  unordered_.push_back(Unordered{++lastNumber_, std::move(payload), durable, {}});
+  unordered_.push_back(UnorderedMessage{++lastSubmitted_, std::move(payload), durable, {}});
   submit(unordered_.back());
 }
 
-void SequencedGroup::submit(Unordered& unordered) {
+void SequencedGroup::submit(UnorderedMessage& unordered) {
   unordered.sentAt = clock_.now();
-  GroupSubmit submit{view_, own_, unordered.number, unordered.payload, unordered.durable};
+  GroupSubmit submit{view_, own_, unordered.senderSequence, unordered.payload, unordered.durable};
   if (isSequencer())
     queue_.put([this, submit] {
       order(submit);
@@ -259,77 +266,77 @@
 }
 
 void SequencedGroup::order(const GroupSubmit& submit) {
-  if (flushing_ || submit.view != view_ || numbers_[submit.from] + 1 != submit.number) return;
-  numbers_[submit.from] = submit.number;
-  GroupOrdered ordered{Delivery{view_, ++lastSequence_, submit.from.server, submit.payload, submit.durable}, submit.number};
+  if (flushing_ || submit.view != view_ || lastSenderSequence_[submit.from] + 1 != submit.senderSequence) return;
+  lastSenderSequence_[submit.from] = submit.senderSequence;
+  GroupOrdered ordered{Delivery{view_, ++lastSequence_, submit.from.server, submit.payload, submit.durable}, submit.senderSequence};
   ordered_.emplace(lastSequence_, ordered);
   for (const auto& member : members_)
     if (member != own_) send(member.server.address, MessageType::groupOrdered, ordered);
-  hold(ordered);
+  acceptOrdered(ordered);
 }
 
 void SequencedGroup::onOrdered(const GroupOrdered& ordered) {
   if (flushing_ || ordered.delivery.view != view_) return;
-  hold(ordered);
+  acceptOrdered(ordered);
 }
 
-void SequencedGroup::hold(const GroupOrdered& ordered) {
+void SequencedGroup::acceptOrdered(const GroupOrdered& ordered) {
   const auto& delivery = ordered.delivery;
-  if (delivery.sequence != received_ + 1) return;
-  received_ = delivery.sequence;
-  held_.emplace(delivery.sequence, delivery);
+  if (delivery.sequence != receivedUpTo_ + 1) return;
+  receivedUpTo_ = delivery.sequence;
+  undelivered_.emplace(delivery.sequence, delivery);
   if (delivery.sender == own_.server)
-    while (!unordered_.empty() && unordered_.front().number <= ordered.number) unordered_.pop_front();
-  listener_->received({delivery}, [this, view = view_, upto = delivery.sequence] {
-    becameStable(view, upto);
+    while (!unordered_.empty() && unordered_.front().senderSequence <= ordered.senderSequence) unordered_.pop_front();
+  listener_->received({delivery}, [this, view = view_, sequence = delivery.sequence] {
+    becameStable(view, sequence);
   });
 }
 
-void SequencedGroup::becameStable(const ViewId& view, std::uint64_t upto) {
-  if (flushing_ || view != view_ || upto <= stable_) return;
-  stable_ = upto;
+void SequencedGroup::becameStable(const ViewId& view, std::uint64_t sequence) {
+  if (flushing_ || view != view_ || sequence <= stableUpTo_) return;
+  stableUpTo_ = sequence;
   if (isSequencer())
-    recordAck(own_, stable_);
+    recordAck(own_, stableUpTo_);
   else
-    send(members_.begin()->server.address, MessageType::groupAcked, GroupMark{view_, own_, stable_});
+    send(members_.begin()->server.address, MessageType::groupAcked, GroupWatermark{view_, own_, stableUpTo_});
 }
 
-void SequencedGroup::onAcked(const GroupMark& mark) {
-  if (!flushing_ && mark.view == view_ && isSequencer()) recordAck(mark.from, mark.upto);
+void SequencedGroup::onAcked(const GroupWatermark& watermark) {
+  if (!flushing_ && watermark.view == view_ && isSequencer()) recordAck(watermark.from, watermark.sequence);
 }
 
-void SequencedGroup::recordAck(const Member& member, std::uint64_t upto) {
-  acked_[member] = std::max(acked_[member], upto);
-  std::uint64_t everyone = lastSequence_;
+void SequencedGroup::recordAck(const Member& member, std::uint64_t sequence) {
+  acked_[member] = std::max(acked_[member], sequence);
+  std::uint64_t ackedByAll = lastSequence_;
   for (const auto& each : members_) {
     auto found = acked_.find(each);
-    everyone = std::min(everyone, found == acked_.end() ? 0 : found->second);
+    ackedByAll = std::min(ackedByAll, found == acked_.end() ? 0 : found->second);
   }
-  if (everyone <= safe_) return;
+  if (ackedByAll <= safeUpTo_) return;
   for (const auto& each : members_)
-    if (each != own_) send(each.server.address, MessageType::groupSafe, GroupMark{view_, own_, everyone});
-  ordered_.erase(ordered_.begin(), ordered_.upper_bound(everyone));
-  advanceSafe(everyone);
+    if (each != own_) send(each.server.address, MessageType::groupSafe, GroupWatermark{view_, own_, ackedByAll});
+  ordered_.erase(ordered_.begin(), ordered_.upper_bound(ackedByAll));
+  advanceSafe(ackedByAll);
 }
 
-void SequencedGroup::onSafe(const GroupMark& mark) {
-  if (!flushing_ && mark.view == view_ && mark.from == *members_.begin()) advanceSafe(mark.upto);
+void SequencedGroup::onSafe(const GroupWatermark& watermark) {
+  if (!flushing_ && watermark.view == view_ && watermark.from == *members_.begin()) advanceSafe(watermark.sequence);
 }
 
-void SequencedGroup::advanceSafe(std::uint64_t upto) {
-  if (upto <= safe_) return;
-  safe_ = upto;
-  deliverUpTo(upto);
-  for (auto& [address, peer] : peers_) settleProof(peer);
+void SequencedGroup::advanceSafe(std::uint64_t sequence) {
+  if (sequence <= safeUpTo_) return;
+  safeUpTo_ = sequence;
+  deliverUpTo(sequence);
+  for (auto& [address, peer] : peers_) applyPendingConfirmation(peer);
 }
 
-void SequencedGroup::deliverUpTo(std::uint64_t upto) {
-  while (delivered_ < upto) {
-    auto next = held_.find(delivered_ + 1);
-    if (next == held_.end()) return;
+void SequencedGroup::deliverUpTo(std::uint64_t sequence) {
+  while (deliveredUpTo_ < sequence) {
+    auto next = undelivered_.find(deliveredUpTo_ + 1);
+    if (next == undelivered_.end()) return;
     auto delivery = next->second;
-    held_.erase(next);
-    ++delivered_;
+    undelivered_.erase(next);
+    ++deliveredUpTo_;
     listener_->deliver(delivery);
   }
 }
--- a/src/group/view_forming.cpp
+++ b/src/group/view_change.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-// How members agree on a new view and install it.
+// View changes: the coordinator proposes a view, its members flush their old views, and all install the new one.
 
 namespace tamarindshift {
 
@@ -20,8 +20,9 @@
   return false;
 }
 
-// nobody is waited for when all are here at last, and a set that could do nothing alone waits longer
-Duration SequencedGroup::settlesIn(const std::set<Member>& candidates) const {
+// How long a new view must be wanted before it is proposed. With all persistent members present there is nobody left to wait
+// for; a minority, which could do nothing alone, waits longer than a majority.
+Duration SequencedGroup::settleDurationFor(const std::set<Member>& candidates) const {
   if (candidates == members_) return timings_.settleDuration;
   std::set<ServerId> servers;
   for (const auto& member : candidates) servers.insert(member.server);
@@ -35,42 +36,43 @@
   }
 }
 
-void SequencedGroup::considerForming() {
+void SequencedGroup::considerViewChange() {
   if (!listener_) return;
   auto now = clock_.now();
-  if (forming_ && now >= forming_->deadline) {
-    for (const auto& member : forming_->members)
-      if (!forming_->flushed.contains(member)) {
+  if (proposal_ && now >= proposal_->deadline) {
+    for (const auto& member : proposal_->members)
+      if (!proposal_->flushed.contains(member)) {
         auto found = peers_.find(member.server.address);
-        if (found != peers_.end()) found->second.refusedUntil = now + 2 * timings_.suspicionTimeout;
+        if (found != peers_.end()) found->second.excludedUntil = now + 2 * timings_.suspicionTimeout;
       }
-    forming_.reset();
+    proposal_.reset();
   }
   auto candidates = reachable();
   bool waitingForInstall = flushing_ && promised_.coordinator != own_ && now - flushedAt_ < 2 * timings_.flushTimeout;
-  if (forming_ || waitingForInstall || *candidates.begin() != own_ || !needsNewView(candidates)) {
-    unsettledSince_.reset();
+  if (proposal_ || waitingForInstall || *candidates.begin() != own_ || !needsNewView(candidates)) {
+    viewChangeWantedSince_.reset();
     return;
   }
-  if (!unsettledSince_) unsettledSince_ = now;
+  if (!viewChangeWantedSince_) viewChangeWantedSince_ = now;
   bool shrinks = !flushing_ && candidates.size() < members_.size() &&
                  std::includes(members_.begin(), members_.end(), candidates.begin(), candidates.end());
-  if (shrinks || now - *unsettledSince_ >= settlesIn(candidates)) startForming(candidates);
+  if (shrinks || now - *viewChangeWantedSince_ >= settleDurationFor(candidates)) proposeView(candidates);
 }
 
-// one that has not yet noticed that a member ended follows no other coordinator, and is asked again
-void SequencedGroup::prepareAgain() {
-  if (!forming_) return;
-  for (const auto& member : forming_->members)
-    if (member != own_ && !forming_->flushed.contains(member))
-      send(member.server.address, MessageType::groupPrepare, GroupPrepare{forming_->proposed, forming_->members});
+// A member that has not yet noticed that another one ended may still expect that one as coordinator and ignore this proposal, so
+// it is sent again.
+void SequencedGroup::resendPrepare() {
+  if (!proposal_) return;
+  for (const auto& member : proposal_->members)
+    if (member != own_ && !proposal_->flushed.contains(member))
+      send(member.server.address, MessageType::groupPrepare, GroupPrepare{proposal_->proposed, proposal_->members});
 }
 
-void SequencedGroup::startForming(std::set<Member> members) {
-  unsettledSince_.reset();
+void SequencedGroup::proposeView(std::set<Member> members) {
+  viewChangeWantedSince_.reset();
   ViewId proposed{std::max(highestCounter_, promised_.counter) + 1, own_};
   journal_.count("group.views_proposed");
-  forming_ = Forming{proposed, members, {}, clock_.now() + timings_.flushTimeout};
+  proposal_ = ViewProposal{proposed, members, {}, clock_.now() + timings_.flushTimeout};
   GroupPrepare prepare{proposed, members};
   for (const auto& member : members)
     if (member != own_) send(member.server.address, MessageType::groupPrepare, prepare);
@@ -82,14 +84,14 @@
   auto candidates = reachable();
   if (prepare.proposed.coordinator != own_) {
     if (!candidates.contains(prepare.proposed.coordinator) || *candidates.begin() < prepare.proposed.coordinator) return;
-    forming_.reset();
+    proposal_.reset();
   }
   promised_ = prepare.proposed;
   highestCounter_ = std::max(highestCounter_, promised_.counter);
   flushing_ = true;
   flushedAt_ = clock_.now();
-  GroupFlushed flushed{promised_, own_, view_, safe_, {}};
-  for (auto entry = held_.upper_bound(safe_); entry != held_.end(); ++entry) flushed.held.push_back(entry->second);
+  GroupFlushed flushed{promised_, own_, view_, safeUpTo_, {}};
+  for (auto entry = undelivered_.upper_bound(safeUpTo_); entry != undelivered_.end(); ++entry) flushed.deliveries.push_back(entry->second);
   if (promised_.coordinator == own_)
     onFlushed(flushed);
   else
@@ -97,21 +99,21 @@
 }
 
 void SequencedGroup::onFlushed(const GroupFlushed& flushed) {
-  if (!forming_ || flushed.proposed != forming_->proposed || !forming_->members.contains(flushed.from)) return;
-  forming_->flushed[flushed.from] = flushed;
-  if (forming_->flushed.size() == forming_->members.size()) finishForming();
+  if (!proposal_ || flushed.proposed != proposal_->proposed || !proposal_->members.contains(flushed.from)) return;
+  proposal_->flushed[flushed.from] = flushed;
+  if (proposal_->flushed.size() == proposal_->members.size()) installProposedView();
 }
 
-void SequencedGroup::finishForming() {
-  GroupInstall install{forming_->proposed, forming_->members, {}};
-  for (const auto& [member, flushed] : forming_->flushed) {
-    auto& branch = install.branches[flushed.view];
-    branch.members.insert(member);
-    branch.safe = std::max(branch.safe, flushed.safe);
-    for (const auto& delivery : flushed.held) branch.held.emplace(delivery.sequence, delivery);
+void SequencedGroup::installProposedView() {
+  GroupInstall install{proposal_->proposed, proposal_->members, {}};
+  for (const auto& [member, flushed] : proposal_->flushed) {
+    auto& previous = install.previousViews[flushed.view];
+    previous.members.insert(member);
+    previous.safe = std::max(previous.safe, flushed.safe);
+    for (const auto& delivery : flushed.deliveries) previous.deliveries.emplace(delivery.sequence, delivery);
   }
-  auto members = forming_->members;
-  forming_.reset();
+  auto members = proposal_->members;
+  proposal_.reset();
   for (const auto& member : members)
     if (member != own_) send(member.server.address, MessageType::groupInstall, install);
   onInstall(install);
@@ -120,27 +122,27 @@
 void SequencedGroup::onInstall(const GroupInstall& install) {
   if (!listener_ || install.proposed != promised_ || !flushing_) return;
   if (!members_.empty()) {
-    const auto& branch = install.branches.at(view_);
-    for (const auto& [sequence, delivery] : branch.held)
-      if (sequence > delivered_) held_.emplace(sequence, delivery);
-    deliverUpTo(branch.safe);
+    const auto& previous = install.previousViews.at(view_);
+    for (const auto& [sequence, delivery] : previous.deliveries)
+      if (sequence > deliveredUpTo_) undelivered_.emplace(sequence, delivery);
+    deliverUpTo(previous.safe);
     std::set<ServerId> transitional;
-    for (const auto& member : branch.members) transitional.insert(member.server);
+    for (const auto& member : previous.members) transitional.insert(member.server);
     listener_->transitionalConfiguration(transitional);
     deliverUpTo(std::numeric_limits<std::uint64_t>::max());
   }
   view_ = install.proposed;
   members_ = install.members;
   flushing_ = false;
-  held_.clear();
+  undelivered_.clear();
   ordered_.clear();
-  numbers_.clear();
+  lastSenderSequence_.clear();
   acked_.clear();
   unordered_.clear();
-  received_ = stable_ = safe_ = delivered_ = lastSequence_ = lastNumber_ = 0;
+  receivedUpTo_ = stableUpTo_ = safeUpTo_ = deliveredUpTo_ = lastSequence_ = lastSubmitted_ = 0;
   for (auto& [address, peer] : peers_) {
     peer.confirmedAt.reset();
-    peer.proofWaiting.reset();
+    peer.pendingConfirmation.reset();
   }
   journal_.count("group.views_installed");
   Configuration configuration{view_, {}};
@@ -150,15 +152,15 @@
     names += ' ';
     names += text(member.server);
   }
-  journal_.line("view " + text(view_) + " of" + names);
+  journal_.line("view " + text(view_) + " installed, members:" + names);
   listener_->regularConfiguration(configuration);
-  scope_.spawn(proveSoon());
+  scope_.spawn(confirmNewView());
 }
 
-// two heartbeats at once, so that a new view is proved without waiting for the next ones
-Task<void> SequencedGroup::proveSoon() {
+// Sends two heartbeats 20 ms apart, so that a new view is confirmed (viewConfirmedAt) without waiting for the regular ones.
+Task<void> SequencedGroup::confirmNewView() {
   auto view = view_;
-  for (int left = 2; left > 0 && view == view_ && !flushing_; --left) {
+  for (int remaining = 2; remaining > 0 && view == view_ && !flushing_; --remaining) {
     sendHeartbeats();
     co_await sleep(clock_, 20ms);
   }
--- a/src/group/view_id.hpp
+++ b/src/group/view_id.hpp
@@ -4,6 +4,7 @@
 
 namespace tamarindshift {
 
+/// Identifies a view. Ids rise along the views of a member; coordinators that propose at the same time take different ones.
 struct ViewId {
   std::uint64_t counter = 0;
   Member coordinator;
--- a/src/wire/deflate.hpp
+++ b/src/wire/deflate.hpp
@@ -4,15 +4,18 @@
 #include <optional>
 #include <string>
 
+// Compression of large packed messages.
+
 namespace tamarindshift {
 
-/// `bytes` compressed with zlib for speed; begins with a byte that no packed message begins with.
+/// Compresses `bytes` with zlib at its fastest level. The result begins with a byte that no packed message begins with, so
+/// that a receiver can tell both forms apart.
 std::string deflated(const std::string& bytes);
 
-/// Whether these bytes are what `deflated` made.
+/// Whether `bytes` begin as a result of `deflated` does.
 bool isDeflated(const std::string& bytes);
 
-/// The bytes behind `deflated`; no value if they are damaged or longer than `most`.
-std::optional<std::string> inflated(const std::string& bytes, std::size_t most);
+/// Reverses `deflated`; no value if the bytes are damaged or stand for more than `maxLength` bytes.
+std::optional<std::string> inflated(const std::string& bytes, std::size_t maxLength);
 
 }  // namespace tamarindshift
--- a/src/wire/pack.hpp
+++ b/src/wire/pack.hpp
@@ -7,6 +7,9 @@
 #include "base/strong.hpp"
 #include "base/time.hpp"
 
+// Conversion of messages and stored records to and from bytes with MessagePack. The fields of a struct are written by
+// position: fields that are missing at the end keep their defaults, additional ones at the end are ignored.
+
 namespace msgpack {
 MSGPACK_API_VERSION_NAMESPACE(MSGPACK_DEFAULT_API_NS) {
   namespace adaptor {
@@ -49,6 +52,7 @@
 
 namespace tamarindshift {
 
+/// The MessagePack form of `value`.
 template <class Value>
 std::string packed(const Value& value) {
   msgpack::sbuffer buffer;
@@ -56,6 +60,7 @@
   return std::string{buffer.data(), buffer.size()};
 }
 
+/// Reverses `packed`; no value if `bytes` have another shape, are cut off, or go on behind the value.
 template <class Value>
 std::optional<Value> unpacked(const std::string& bytes) {
   try {
--- a/src/wire/server_id.hpp
+++ b/src/wire/server_id.hpp
@@ -9,8 +9,10 @@
 
 namespace tamarindshift {
 
+/// Distinguishes servers that had the same address one after the other; a later one has a higher number.
 using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
 
+/// Identity of a core server with its data: it survives restarts, and a server that starts with an empty disk has another one.
 struct ServerId {
   Address address;
   Incarnation incarnation;
@@ -19,6 +21,7 @@
   MSGPACK_DEFINE(address, incarnation)
 };
 
+/// For logs and status: the address and the last five digits of the incarnation.
 inline std::string text(const ServerId& server) {
   return server.address.get() + "#" + std::to_string(server.incarnation.get() % 100000);
 }
--- a/tests/construct_test.cpp
+++ b/tests/construct_test.cpp
@@ -1,3 +1,6 @@
+// Crashes while a primary component is being installed (state Construct), when some members may have installed it and others not.
+// Guards against a group that stays blocked, and against two different green orders.
+
 #include <catch2/catch.hpp>
 
 #include "tests/engine_cluster.hpp"
@@ -15,12 +18,12 @@
   return false;
 }
 
-void runInto(EngineCluster& cluster, EngineState state) {
+void runUntilSomeoneIs(EngineCluster& cluster, EngineState state) {
   for (int step = 0; step < 40'000 && !someoneIs(cluster, state); ++step) cluster.run(100us);
   REQUIRE(someoneIs(cluster, state));
 }
 
-std::vector<std::string> crashInConstruct(std::uint64_t seed, Duration offset, std::size_t survivor, std::size_t emptied) {
+std::vector<std::string> crashInConstruct(std::uint64_t seed, Duration offset, std::size_t survivor, std::size_t emptiedDisk) {
   EngineCluster cluster(3, seed);
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(2s);
@@ -32,13 +35,13 @@
   cluster.run(4ms);
   cluster.start(2);
   cluster.run(50ms);
-  runInto(cluster, EngineState::construct);
+  runUntilSomeoneIs(cluster, EngineState::construct);
   cluster.run(offset);
   for (std::size_t index = 0; index < 3; ++index) {
     cluster.submit(index);
     if (index != survivor) cluster.kill(index);
   }
-  if (emptied != nobody) cluster.nodes[emptied]->disk.empty();
+  if (emptiedDisk != nobody) cluster.nodes[emptiedDisk]->disk.empty();
   cluster.run(700ms);
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(6s);
@@ -52,20 +55,20 @@
 
 }  // namespace
 
-TEST_CASE("a group that crashes in Construct is back, also with one disk lost") {
+TEST_CASE("a group that crashes in Construct recovers, also with one disk lost") {
   for (std::uint64_t seed = 1; seed <= 2; ++seed)
     for (auto offset = Duration{0}; offset <= 16ms; offset += 700us)
       for (std::size_t survivor : {nobody, std::size_t{0}, std::size_t{1}})
-        for (std::size_t emptied : {nobody, std::size_t{0}, std::size_t{1}, std::size_t{2}}) {
-          if (emptied == survivor && emptied != nobody) continue;
-          auto faults = crashInConstruct(seed, offset, survivor, emptied);
-          INFO("seed " << seed << " offset " << offset.count() << " survivor " << survivor << " emptied " << emptied);
+        for (std::size_t emptiedDisk : {nobody, std::size_t{0}, std::size_t{1}, std::size_t{2}}) {
+          if (emptiedDisk == survivor && emptiedDisk != nobody) continue;
+          auto faults = crashInConstruct(seed, offset, survivor, emptiedDisk);
+          INFO("seed " << seed << " offset " << offset.count() << " survivor " << survivor << " emptied " << emptiedDisk);
           for (const auto& fault : faults) UNSCOPED_INFO(fault);
           REQUIRE(faults.empty());
         }
 }
 
-TEST_CASE("a vulnerable member whose peers are out of reach stays blocked") {
+TEST_CASE("a vulnerable member stays blocked while its peers are unreachable") {
   EngineCluster cluster(3, 5);
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(2s);
@@ -73,7 +76,7 @@
   cluster.run(1s);
   cluster.start(2);
   cluster.run(50ms);
-  runInto(cluster, EngineState::construct);
+  runUntilSomeoneIs(cluster, EngineState::construct);
   cluster.run(6ms);
   bool vulnerable = true;
   for (std::size_t index = 0; index < 3; ++index) vulnerable = vulnerable && cluster.nodes[index]->core->engine().vulnerable().valid;
@@ -87,34 +90,34 @@
   CHECK(cluster.primaryMemberCount() == 3);
 }
 
-TEST_CASE("what an installer made green before its disk was lost keeps its place in Un") {
-  std::size_t tried = 0;
+TEST_CASE("an action that an installing member made green before it lost its disk keeps its position through Un") {
+  std::size_t vulnerableRuns = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     EngineCluster cluster(3, seed);
-    auto separate = [&](std::size_t left, std::size_t right) {
+    auto cutBoth = [&](std::size_t left, std::size_t right) {
       cluster.network.cut(cluster.host(left), cluster.host(right));
       cluster.network.cut(cluster.host(right), cluster.host(left));
     };
     for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
     cluster.run(2s);
-    separate(0, 1);
-    separate(0, 2);
-    separate(1, 2);
+    cutBoth(0, 1);
+    cutBoth(0, 2);
+    cutBoth(1, 2);
     cluster.run(2s);
     REQUIRE(cluster.primaryMemberCount() == 0);
     cluster.submit(2);
     cluster.run(100ms);
     cluster.network.healAll();
-    runInto(cluster, EngineState::regPrim);
+    runUntilSomeoneIs(cluster, EngineState::regPrim);
     const auto& others = {std::size_t{1}, std::size_t{2}};
     for (auto other : others) REQUIRE(cluster.nodes[other]->core->engine().state() == EngineState::construct);
-    separate(0, 1);
-    separate(0, 2);
+    cutBoth(0, 1);
+    cutBoth(0, 2);
     cluster.kill(0);
     cluster.nodes[0]->disk.empty();
     cluster.run(2s);
     for (auto other : others) REQUIRE(cluster.nodes[other]->core->engine().state() == EngineState::nonPrim);
-    tried += cluster.nodes[1]->core->engine().vulnerable().valid;
+    vulnerableRuns += cluster.nodes[1]->core->engine().vulnerable().valid;
     cluster.submit(1);
     cluster.run(100ms);
     cluster.network.healAll();
@@ -126,5 +129,5 @@
     REQUIRE(cluster.faults.empty());
     REQUIRE(cluster.primaryMemberCount() == 3);
   }
-  CHECK(tried > 0);
+  CHECK(vulnerableRuns > 0);
 }
--- a/tests/core_model.cpp
+++ b/tests/core_model.cpp
@@ -27,41 +27,41 @@
       member.primSet = bit(0) | bit(1) | bit(2);
     }
     add(first, nullptr, "start");
-    while (!open_.empty() && !broken_) {
+    while (!open_.empty() && !violated_) {
       const auto* current = open_.front();
       open_.pop_front();
       expand(*current);
     }
     CoreModel::Result result;
     result.states = seen_.size();
-    if (broken_) result.violation = path(*broken_);
+    if (violated_) result.violation = path(*violated_);
     return result;
   }
 
  private:
   struct Visited {
-    const Visited* before = nullptr;
+    const Visited* previous = nullptr;
     std::string step;
     const std::string* state = nullptr;
   };
 
-  void add(State state, const Visited* before, std::string step, std::string fault = {}) {
-    if (broken_) return;
-    if (fault.empty()) fault = faultOf(state);
-    if (!fault.empty()) {
-      last_ = Visited{before, step + "; " + fault, nullptr};
-      broken_ = &last_;
+  void add(State state, const Visited* previous, std::string step, std::string violation = {}) {
+    if (violated_) return;
+    if (violation.empty()) violation = violationIn(state);
+    if (!violation.empty()) {
+      violatedState_ = Visited{previous, step + "; " + violation, nullptr};
+      violated_ = &violatedState_;
       return;
     }
     auto [found, fresh] = seen_.try_emplace(key(state));
     if (!fresh) return;
-    found->second = Visited{before, std::move(step), &found->first};
+    found->second = Visited{previous, std::move(step), &found->first};
     open_.push_back(&found->second);
   }
 
   static std::vector<std::string> path(const Visited& end) {
     std::vector<std::string> steps;
-    for (const auto* at = &end; at; at = at->before) steps.push_back(at->step);
+    for (const auto* at = &end; at; at = at->previous) steps.push_back(at->step);
     std::reverse(steps.begin(), steps.end());
     return steps;
   }
@@ -72,33 +72,34 @@
     return state;
   }
 
-  /// What must hold in every state.
-  std::string faultOf(const State& state) const {
-    if ((state.confirmed & 3) == 3) return "two contents are confirmed under one version";
+  /// The invariant that does not hold in this state; empty if all hold.
+  std::string violationIn(const State& state) const {
+    if ((state.confirmed & 3) == 3) return "two different contents are confirmed with the same version";
     const Log* longest = nullptr;
     for (const auto& member : state.member)
       if (member.joined && (!longest || member.log.green > longest->green)) longest = &member.log;
-    auto group = groupOf(*longest, budget_.sameAddress, state.gone);
-    int goneInGroup = size(group & state.gone);
+    auto group = groupOf(*longest, budget_.sameAddress, state.lost);
+    int lostInGroup = size(group & state.lost);
     for (int index = 0; index < state.decidedLength; ++index) {
       auto action = state.decided[index];
       if (!(state.acknowledged & (1 << action))) continue;
       int copies = 0;
       for (int each = 0; each < members; ++each) {
         const auto& member = state.member[each];
-        bool counts = member.joined && member.life != Life::gone && has(group, each);
+        bool counts = member.joined && member.life != Life::lost && has(group, each);
         auto synced = member.log.length - member.unsynced;
         const auto* end = member.log.entries.begin() + synced;
         copies += counts && std::find(member.log.entries.begin(), end, action) != end;
       }
-      if (copies + goneInGroup < 2) return "an acknowledged action is on " + std::to_string(copies) + " disk only";
+      if (copies + lostInGroup < 2) return "an acknowledged action is on only " + std::to_string(copies) + " disks";
     }
-    int bearable = goneInGroup > 0 ? 0 : 1;
-    if (2 * (size(group) - goneInGroup - bearable) <= size(group)) return "one more loss leaves no majority of the group";
+    int toleratedLosses = lostInGroup > 0 ? 0 : 1;
+    if (2 * (size(group) - lostInGroup - toleratedLosses) <= size(group))
+      return "one more lost machine would leave no majority of the group";
     return {};
   }
 
-  // ReplicationEngine::markGreen: the order that was decided first is the one
+  // ReplicationEngine::markGreen: all members must follow the order that was decided first
   std::string decide(State& state, int who, Byte action) const {
     auto& log = state.member[who].log;
     auto at = std::find(log.entries.begin() + log.green, log.entries.begin() + log.length, action);
@@ -113,7 +114,7 @@
     return {};
   }
 
-  // VersionLedger::judge, at the member that took the order
+  // VersionLedger::judge, at the member that accepted the order
   void acknowledge(State& state, int who, Byte action) const {
     state.acknowledged |= static_cast<Byte>(1 << action);
     if (action != orderOne && action != orderTwo) return;
@@ -146,7 +147,7 @@
     startNewcomer(state, visited);
   }
 
-  /// SequencedGroup::onInstall: members that come from one view deliver the same, then stand in the new view.
+  /// SequencedGroup::onInstall: members that come from one view deliver the same messages, then install the new view.
   void formView(State state, const Visited& from, Set set) {
     if (state.views >= budget_.views) return;
     bool sameView = true;
@@ -159,12 +160,12 @@
       sameView = sameView && member.view == common && member.view != 0;
     }
     if (sameView && state.view[common].set == set) return;
-    std::string fault;
-    for (int view = 1; view <= state.views && fault.empty(); ++view) {
+    std::string violation;
+    for (int view = 1; view <= state.views && violation.empty(); ++view) {
       Set branch = 0;
       for (int each = 0; each < members; ++each)
         if (has(set, each) && state.member[each].view == view) branch |= bit(each);
-      if (branch) fault = leaveView(state, view, branch);
+      if (branch) violation = leaveView(state, view, branch);
     }
     auto& view = state.view[++state.views];
     view.set = set;
@@ -175,10 +176,10 @@
       member.phase = Phase::exchange;
       member.received = member.delivered = 0;
     }
-    add(state, &from, "view " + std::to_string(set), fault);
+    add(state, &from, "view of set " + std::to_string(set), violation);
   }
 
-  // the union of what the members of a branch hold; what one knew as safe is safe to all
+  // The members that come from one view get the union of their messages; what is safe at one of them is safe at all.
   std::string leaveView(State& state, int view, Set branch) {
     const auto& own = state.view[view];
     Byte received = 0;
@@ -194,12 +195,12 @@
       if (!has(branch, each)) continue;
       auto& member = state.member[each];
       if (member.phase == Phase::construct && installed)
-        if (auto fault = installAt(state, each); !fault.empty()) return fault;
+        if (auto violation = installAt(state, each); !violation.empty()) return violation;
       while (member.received < received) member.log.append(own.messages[member.received++]);
       member.unsynced = 0;
       while (member.phase == Phase::regPrim && member.delivered < safe) {
         auto action = own.messages[member.delivered];
-        if (auto fault = decide(state, each, action); !fault.empty()) return fault;
+        if (auto violation = decide(state, each, action); !violation.empty()) return violation;
         ++member.delivered;
       }
       endOfPhase(state, each);
@@ -214,7 +215,7 @@
     if (member.phase == Phase::regPrim) {
       member.vulnerable = false;
       member.yellowValid = true;
-      // what came in this view and is not green is yellow, in the order of the view
+      // what was received in this view and is not green becomes yellow, in the order of the view
       auto& log = member.log;
       log.yellow = 0;
       for (int index = 0; index < member.received; ++index) {
@@ -238,22 +239,22 @@
 
   Set lostNow(const State& state, Set set) const {
     bool newcomerKnown = budget_.sameAddress && state.member[newcomer].life == Life::up && !state.member[newcomer].joined;
-    return newcomerKnown && set ? state.gone : Set{0};
+    return newcomerKnown && set ? state.lost : Set{0};
   }
 
-  /// ReplicationEngine::shiftToExchangeStates to endOfRetrans, for all members of a view at once.
+  /// ReplicationEngine::shiftToExchangeStates to finishRetransmission, for all members of a view at once.
   void exchange(State state, const Visited& from, int view) {
     auto set = state.view[view].set;
-    const Member* most = nullptr;
-    const Member* knowing = nullptr;
+    const Member* mostGreen = nullptr;
+    const Member* latestPrimary = nullptr;
     for (int each = 0; each < members; ++each) {
       if (!has(set, each)) continue;
       const auto& member = state.member[each];
       if (member.life != Life::up || member.view != view || member.phase != Phase::exchange) return;
-      if (!most || member.log.green > most->log.green) most = &member;
-      if (!knowing || member.primIndex > knowing->primIndex) knowing = &member;
+      if (!mostGreen || member.log.green > mostGreen->log.green) mostGreen = &member;
+      if (!latestPrimary || member.primIndex > latestPrimary->primIndex) latestPrimary = &member;
     }
-    auto green = most->log;
+    auto green = mostGreen->log;
     green.cut(green.green);
     green.yellow = 0;
     std::vector<Byte> reds;
@@ -265,7 +266,7 @@
       for (int index = 0; index < log.length; ++index)
         if (!green.contains(log.entries[index]) && std::find(reds.begin(), reds.end(), log.entries[index]) == reds.end())
           reds.push_back(log.entries[index]);
-      if (member.primIndex != knowing->primIndex || member.primSet != knowing->primSet || !member.yellowValid) continue;
+      if (member.primIndex != latestPrimary->primIndex || member.primSet != latestPrimary->primSet || !member.yellowValid) continue;
       std::vector<Byte> own(log.entries.begin() + log.green, log.entries.begin() + log.green + log.yellow);
       if (!yellow)
         yellow = own;
@@ -281,20 +282,20 @@
         if (!merged.contains(action)) merged.append(action), ++merged.yellow;
     for (auto action : reds) merged.append(action);
 
-    auto primIndex = knowing->primIndex;
-    auto primSet = knowing->primSet;
-    auto before = state;
+    auto primIndex = latestPrimary->primIndex;
+    auto primSet = latestPrimary->primSet;
+    auto previous = state;
     Set bits = lostNow(state, set);
     auto vulnerable = [&](int each) -> Byte& {
       return state.member[each].vulnerable;
     };
     for (int each = 0; each < members; ++each) {
       if (!has(set, each) || !vulnerable(each)) continue;
-      const auto& own = before.member[each];
+      const auto& own = previous.member[each];
       bool outdated = primIndex > own.vulnerablePrim && !has(primSet, each);
       for (int other = 0; other < members; ++other) {
         if (!has(static_cast<Set>(own.vulnerableSet & set), other)) continue;
-        const auto& its = before.member[other];
+        const auto& its = previous.member[other];
         if (!its.vulnerable || its.vulnerableView != own.vulnerableView) outdated = true;
       }
       if (outdated) vulnerable(each) = false;
@@ -307,7 +308,7 @@
       if (vulnerable(each) && (state.member[each].vulnerableSet & ~bits) == 0) vulnerable(each) = false;
       blocked = blocked || vulnerable(each);
     }
-    auto group = groupOf(merged, budget_.sameAddress, state.gone);
+    auto group = groupOf(merged, budget_.sameAddress, state.lost);
     auto voters = static_cast<Set>(primSet & ~lostNow(state, set));
     bool quorum = !(rules_.vulnerableBlocks && blocked);
     if (rules_.majorityOfGroup) quorum = quorum && 2 * size(group & set) > size(group);
@@ -330,14 +331,14 @@
       member.vulnerablePrim = primIndex;
       member.vulnerableView = static_cast<Byte>(view);
     }
-    add(state, &from, "exchange in view " + std::to_string(set) + (quorum ? ", quorum" : ", no quorum"));
+    add(state, &from, "exchange in the view of set " + std::to_string(set) + (quorum ? ", quorum" : ", no quorum"));
   }
 
   void sendCpc(State state, const Visited& from, int who) {
     const auto& member = state.member[who];
     if (member.life != Life::up || member.phase != Phase::construct || has(state.view[member.view].cpcs, who)) return;
     state.view[member.view].cpcs |= bit(who);
-    add(state, &from, "cpc of " + std::to_string(who));
+    add(state, &from, "CPC of " + std::to_string(who));
   }
 
   std::string installAt(State& state, int who) {
@@ -346,7 +347,7 @@
     while (log.green < log.length) {
       auto begin = log.entries.begin() + log.green;
       auto next = log.yellow > 0 ? *begin : *std::min_element(begin, log.entries.begin() + log.length);
-      if (auto fault = decide(state, who, next); !fault.empty()) return fault;
+      if (auto violation = decide(state, who, next); !violation.empty()) return violation;
     }
     member.yellowValid = false;
     ++member.primIndex;
@@ -355,24 +356,24 @@
     return {};
   }
 
-  /// ReplicationEngine::onCpc with the last CPC of the view, which is safe.
+  /// ReplicationEngine::onCpc with the last CPC of the view, once it is safe.
   void install(State state, const Visited& from, int who) {
     const auto& member = state.member[who];
     if (member.life != Life::up || member.phase != Phase::construct) return;
     const auto& view = state.view[member.view];
-    if (view.cpcs != view.set || !stillTogether(state, view.set, member.view)) return;
-    auto fault = installAt(state, who);
-    add(state, &from, std::to_string(who) + " installs", fault);
+    if (view.cpcs != view.set || !allStillInView(state, view.set, member.view)) return;
+    auto violation = installAt(state, who);
+    add(state, &from, std::to_string(who) + " installs", violation);
   }
 
-  // a message becomes safe only while all members of the view still acknowledge in it
-  static bool stillTogether(const State& state, Set set, Byte view) {
+  // a message becomes safe only while all members of the view are still in it to acknowledge it
+  static bool allStillInView(const State& state, Set set, Byte view) {
     for (int each = 0; each < members; ++each)
       if (has(set, each) && (state.member[each].life != Life::up || state.member[each].view != view)) return false;
     return true;
   }
 
-  bool post(State& state, int who, Byte action) const {
+  bool orderInView(State& state, int who, Byte action) const {
     const auto& member = state.member[who];
     if (member.life != Life::up || member.phase != Phase::regPrim || (state.ordered & (1 << action))) return false;
     auto& view = state.view[member.view];
@@ -385,35 +386,36 @@
 
   void order(State state, const Visited& from, int who, Byte action) {
     if (who != action - 1) return;  // one operator at each of two members
-    if (post(state, who, action)) add(state, &from, std::to_string(who) + " orders " + std::to_string(action));
+    if (orderInView(state, who, action)) add(state, &from, std::to_string(who) + " orders " + std::to_string(action));
   }
 
   void requestJoin(State state, const Visited& from, int who) {
     const auto& fresh = state.member[newcomer];
     if (fresh.life != Life::up || fresh.joined) return;
-    if (post(state, who, join)) add(state, &from, std::to_string(who) + " orders the join");
+    if (orderInView(state, who, join)) add(state, &from, std::to_string(who) + " orders the join of the newcomer");
   }
 
-  /// MemberReplacement::review, at the member that leads.
+  /// MemberReplacement::review, at the leader.
   void requestLeave(State state, const Visited& from, int who, int leaver) {
     if (leaver != 2) return;  // one leaver keeps the search small
     const auto& member = state.member[who];
     if (member.life != Life::up || member.phase != Phase::regPrim) return;
     auto set = state.view[member.view].set;
-    auto group = groupOf(member.log, budget_.sameAddress, state.gone);
+    auto group = groupOf(member.log, budget_.sameAddress, state.lost);
     if (has(set, leaver) || !has(group, leaver) || (set & -set) != bit(who)) return;
     if (rules_.spareBeforeLeave && size(set & group) < 3) return;
-    if (post(state, who, static_cast<Byte>(leave + leaver))) add(state, &from, "the leave of " + std::to_string(leaver) + " is ordered");
+    if (orderInView(state, who, static_cast<Byte>(leave + leaver)))
+      add(state, &from, "the leave of " + std::to_string(leaver) + " is ordered");
   }
 
-  /// ReplicationEngine::received: synced before it counts, unless that rule is taken out.
+  /// ReplicationEngine::received: synced before it is acknowledged, unless that rule is disabled.
   void receive(State state, const Visited& from, int who) {
     auto& member = state.member[who];
     if (member.life != Life::up || member.phase != Phase::regPrim) return;
     const auto& view = state.view[member.view];
     if (member.received >= view.length) return;
     member.log.append(view.messages[member.received++]);
-    if (!rules_.syncBeforeReceipt) ++member.unsynced;
+    if (!rules_.syncBeforeAcknowledgement) ++member.unsynced;
     add(state, &from, std::to_string(who) + " receives");
   }
 
@@ -424,9 +426,9 @@
     for (int each = 0; each < members; ++each)
       if (has(view.set, each) && (state.member[each].view != member.view || state.member[each].received <= member.delivered)) return;
     auto index = member.delivered++;
-    auto fault = decide(state, who, view.messages[index]);
+    auto violation = decide(state, who, view.messages[index]);
     if (view.creators[index] == who) acknowledge(state, who, view.messages[index]);
-    add(state, &from, std::to_string(who) + " delivers " + std::to_string(view.messages[index]), fault);
+    add(state, &from, std::to_string(who) + " delivers " + std::to_string(view.messages[index]), violation);
   }
 
   void crash(State state, const Visited& from, int who) {
@@ -446,30 +448,30 @@
     auto& member = state.member[who];
     if (member.life != Life::down) return;
     member.life = Life::up;
-    add(state, &from, std::to_string(who) + " is back");
+    add(state, &from, std::to_string(who) + " recovers");
   }
 
-  /// A machine loses its disk; at most one is lost at once, and a crashed one counts while it is down.
+  /// A machine loses its disk, at most one at a time; a crashed member counts as one while it is down.
   void loseDisk(State state, const Visited& from, int who) {
     if (who >= founders || state.disksLost >= budget_.disksLost) return;
     auto& member = state.member[who];
-    if (member.life == Life::gone || member.life == Life::absent) return;
+    if (member.life == Life::lost || member.life == Life::absent) return;
     for (int each = 0; each < members; ++each)
       if (each != who && state.member[each].life == Life::down) return;
     ++state.disksLost;
-    state.gone |= bit(who);
+    state.lost |= bit(who);
     member = Member{};
-    member.life = Life::gone;
+    member.life = Life::lost;
     add(state, &from, std::to_string(who) + " loses its disk");
   }
 
   void startNewcomer(State state, const Visited& from) {
-    if (state.gone == 0 || state.member[newcomer].life != Life::absent) return;
+    if (state.lost == 0 || state.member[newcomer].life != Life::absent) return;
     state.member[newcomer].life = Life::up;
     add(state, &from, "the newcomer starts");
   }
 
-  /// Core::onJoinAsk and ReplicationEngine::adopt.
+  /// Core::onJoinRequest and ReplicationEngine::joinFromSnapshot.
   void adopt(State state, const Visited& from, int who) {
     const auto& member = state.member[who];
     auto& fresh = state.member[newcomer];
@@ -483,20 +485,20 @@
     add(state, &from, "the newcomer adopts a snapshot of " + std::to_string(who));
   }
 
-  /// A member answers a reader: it must know all that was acknowledged before it was asked.
+  /// A member answers a read: it must have everything that was acknowledged before the request.
   void serve(const State& state, const Visited& from, int who) {
     const auto& member = state.member[who];
     if (member.life != Life::up || member.phase != Phase::regPrim) return;
     const auto& view = state.view[member.view];
-    if (rules_.proofBeforeServing && !stillTogether(state, view.set, member.view)) return;
-    if (rules_.proofBeforeServing)
+    if (rules_.confirmationBeforeServing && !allStillInView(state, view.set, member.view)) return;
+    if (rules_.confirmationBeforeServing)
       for (int each = 0; each < members; ++each)
-        // a peer's echo counts once this member delivered as far as the peer had
+        // a peer's echo counts only once this member has delivered as far as the peer had
         if (has(view.set, each) && state.member[each].delivered > member.delivered) return;
     for (int index = 0; index < state.decidedLength; ++index) {
       if (!(state.acknowledged & (1 << state.decided[index]))) continue;
       if (index >= member.log.green)
-        return add(state, &from, std::to_string(who) + " serves", "a member serves without what was acknowledged");
+        return add(state, &from, std::to_string(who) + " serves", "a member serves a read without an acknowledged action");
     }
   }
 
@@ -504,8 +506,8 @@
   CoreModel::Budget budget_;
   std::unordered_map<std::string, Visited> seen_;
   std::deque<const Visited*> open_;
-  Visited last_;
-  const Visited* broken_ = nullptr;
+  Visited violatedState_;
+  const Visited* violated_ = nullptr;
 };
 
 }  // namespace
--- a/tests/core_model.hpp
+++ b/tests/core_model.hpp
@@ -8,26 +8,26 @@
 
 namespace tamarindshift::testing {
 
-/// A small model of the core for exhaustive search: three members and one newcomer, two orders under one version, a
+/// A small model of the core for exhaustive search: three members and one newcomer, two orders with the same version, a
 /// join and a leave. Its steps are named after the functions of `src/engine`, `src/group` and `src/control` that they
-/// stand for; messages within a view are ordered, so a step is one delivery, one crash or one change of view.
+/// model; messages within a view are ordered, so a step is one delivery, one crash or one change of view.
 ///
-/// What it leaves out: attempts within one primary index other than by the view that made them, heartbeats and
-/// timing (any set of living members may form a view at any moment), discarding of white actions.
+/// Not modelled: attempts within one primary index other than by the view that made them, heartbeats and timing (any set
+/// of running members may form a view at any moment), discarding of white actions.
 class CoreModel {
  public:
-  /// Rules that can be taken out to see that the search notices.
+  /// Rules that can be disabled to see that the search detects it.
   struct Rules {
-    bool majorityOfGroup = true;        ///< ReplicationEngine::isQuorum, members of the group
-    bool majorityOfLastPrimary = true;  ///< ReplicationEngine::isQuorum, dynamic linear voting
-    bool vulnerableBlocks = true;       ///< ReplicationEngine::isQuorum, vulnerable members
-    bool syncBeforeReceipt = true;      ///< ReplicationEngine::received
-    bool proofBeforeServing = true;     ///< SequencedGroup::viewConfirmedAt
-    bool spareBeforeLeave = true;       ///< MemberReplacement::spare
-    bool digestOfVersion = true;        ///< VersionLedger::judge
+    bool majorityOfGroup = true;            ///< ReplicationEngine::isQuorum, persistent members
+    bool majorityOfLastPrimary = true;      ///< ReplicationEngine::isQuorum, dynamic linear voting
+    bool vulnerableBlocks = true;           ///< ReplicationEngine::isQuorum, vulnerable members
+    bool syncBeforeAcknowledgement = true;  ///< ReplicationEngine::received
+    bool confirmationBeforeServing = true;  ///< SequencedGroup::viewConfirmedAt
+    bool spareBeforeLeave = true;           ///< MemberReplacement::spare
+    bool digestOfVersion = true;            ///< VersionLedger::judge
   };
 
-  /// How much may happen on one path.
+  /// Bounds on one path.
   struct Budget {
     int views = 4;
     int crashes = 2;
@@ -38,11 +38,11 @@
 
   struct Result {
     std::size_t states = 0;
-    /// The steps that lead to a broken invariant, the invariant last.
+    /// The steps that lead to a violated invariant, with the invariant as the last one.
     std::optional<std::vector<std::string>> violation;
   };
 
-  /// Visits every state that can be reached, breadth first.
+  /// Visits every reachable state, breadth first, and stops at the first violation.
   static Result explore(const Rules& rules, const Budget& budget);
 };
 
--- a/tests/core_model_state.hpp
+++ b/tests/core_model_state.hpp
@@ -7,26 +7,25 @@
 #include <string>
 #include <type_traits>
 
-/// What one state of the model of the core consists of. A state is plain bytes without padding, so that equal states have
-/// equal keys.
+/// The state of the core model. It consists of plain bytes without padding, so that equal states have equal keys.
 namespace tamarindshift::testing::core_model {
 
 using Byte = std::uint8_t;
-using Set = Byte;  // a bit for each member
+using Set = Byte;  // a bit per member
 
 inline constexpr int founders = 3;
 inline constexpr int newcomer = 3;
 inline constexpr int members = 4;
-inline constexpr int mostActions = 5;
-inline constexpr int mostViews = 6;
+inline constexpr int maxActions = 5;
+inline constexpr int maxViews = 6;
 
-// actions: two orders with the same version and other content, the newcomer's join, leaves of the founders
+// actions: two orders with the same version and different content, the newcomer's join, leaves of the founders from `leave` on
 inline constexpr Byte orderOne = 1;
 inline constexpr Byte orderTwo = 2;
 inline constexpr Byte join = 3;
 inline constexpr Byte leave = 4;
 
-enum class Life : Byte { absent, up, down, gone };
+enum class Life : Byte { absent, up, down, lost };
 enum class Phase : Byte { nonPrim, exchange, construct, regPrim };
 
 constexpr Set bit(int member) {
@@ -39,9 +38,9 @@
   return std::popcount(set);
 }
 
-/// Green actions, then yellow ones in their order, then red ones; beyond `green`, `yellow` counts.
+/// `green` green actions, then `yellow` yellow ones in their order, then red ones.
 struct Log {
-  std::array<Byte, mostActions> entries{};
+  std::array<Byte, maxActions> entries{};
   Byte length = 0;
   Byte green = 0;
   Byte yellow = 0;
@@ -55,7 +54,7 @@
   }
 };
 
-/// One member, with what its process knows and its disk holds.
+/// One member: what its process knows and what its disk holds.
 struct Member {
   Life life = Life::absent;
   Phase phase = Phase::nonPrim;
@@ -83,16 +82,16 @@
   std::array<Byte, 3> creators{};
 };
 
-/// All members and views, and what was decided and acknowledged so far.
+/// All members and views, and what has been decided and acknowledged.
 struct State {
   std::array<Member, members> member{};
-  std::array<View, mostViews> view{};
+  std::array<View, maxViews> view{};
   Byte views = 0;
   Byte crashes = 0;
   Byte disksLost = 0;
-  Set gone = 0;
-  // the green order as it was decided first, and what was acknowledged
-  std::array<Byte, mostActions> decided{};
+  Set lost = 0;
+  // the green order as it was first decided; bits of the actions that were acknowledged, confirmed and ordered
+  std::array<Byte, maxActions> decided{};
   Byte decidedLength = 0;
   Byte acknowledged = 0;
   Byte confirmed = 0;
@@ -106,14 +105,14 @@
 }
 
 /// The members of the group after the green actions of a log.
-inline Set groupOf(const Log& log, bool sameAddress, Set gone) {
+inline Set groupOf(const Log& log, bool sameAddress, Set lost) {
   Set group = bit(0) | bit(1) | bit(2);
   for (int index = 0; index < log.green; ++index) {
     auto action = log.entries[index];
     if (action == join) {
       group |= bit(newcomer);
-      // the join of a newer incarnation removes the former one at its address
-      if (sameAddress) group &= static_cast<Set>(~(gone & (bit(0) | bit(1) | bit(2))));
+      // the join of a newer incarnation removes the earlier one at the same address
+      if (sameAddress) group &= static_cast<Set>(~(lost & (bit(0) | bit(1) | bit(2))));
     } else if (action >= leave) {
       group &= static_cast<Set>(~bit(action - leave));
     }
--- a/tests/engine_cluster.cpp
+++ b/tests/engine_cluster.cpp
@@ -7,7 +7,7 @@
 
 std::string ObservedApplication::applyGreen(const Action& action, std::uint64_t position) {
   applied.push_back(action.update);
-  cluster.observe(index, position, action.update);
+  cluster.recordGreen(index, position, action.update);
   return action.update;
 }
 
@@ -32,49 +32,50 @@
 }
 
 void EngineCluster::start(std::size_t index) {
-  auto& own = *nodes[index];
-  if (own.core) return;
+  auto& node = *nodes[index];
+  if (node.core) return;
   Address address{host(index) + ":1"};
-  own.clock = std::make_unique<SimulatedClock>(world);
-  own.journal = std::make_unique<QuietJournal>([this, index](const std::string& text) {
-    note("node " + std::to_string(index + 1) + ": " + text);
+  node.clock = std::make_unique<SimulatedClock>(world);
+  node.journal = std::make_unique<CallbackJournal>([this, index](const std::string& text) {
+    log("node " + std::to_string(index + 1) + ": " + text);
   });
-  own.link = std::make_unique<SimulatedLink>(network, *own.clock, address);
-  own.store = makeStore(*own.clock, own.disk);
-  own.application = std::make_unique<ObservedApplication>(*this, index);
+  node.link = std::make_unique<SimulatedLink>(network, *node.clock, address);
+  node.store = makeStore(*node.clock, node.disk);
+  node.application = std::make_unique<ObservedApplication>(*this, index);
   std::set<Address> seedAddresses;
   for (auto seed : seeds) seedAddresses.insert(Address{host(seed) + ":1"});
-  own.core = std::make_unique<Core>(*own.clock, *own.link, *own.store, *own.application, *own.journal,
-                                    CoreSettings{address, seedAddresses, GroupTimings{}, bounds}, world.incarnation());
-  if (auto fault = own.core->start()) faults.push_back("did not start: " + *fault);
-  own.replacement = std::make_unique<MemberReplacement>(*own.clock, *own.journal, own.core->engine(), losses, 1s);
-  if (losses > 0) scopes_[index]->spawn(replacing(index));
+  node.core = std::make_unique<Core>(*node.clock, *node.link, *node.store, *node.application, *node.journal,
+                                     CoreSettings{address, seedAddresses, GroupTimings{}, bounds}, world.incarnation());
+  if (auto fault = node.core->start()) faults.push_back("did not start: " + *fault);
+  node.replacement = std::make_unique<MemberReplacement>(*node.clock, *node.journal, node.core->engine(), toleratedLosses, 1s);
+  if (toleratedLosses > 0) scopes_[index]->spawn(replaceMembers(index));
 }
 
-Task<void> EngineCluster::replacing(std::size_t index) {
-  auto& own = *nodes[index];
+Task<void> EngineCluster::replaceMembers(std::size_t index) {
+  auto& node = *nodes[index];
   for (;;) {
-    const auto& engine = own.core->engine();
-    bool leads = engine.state() == EngineState::regPrim && *engine.conf().members.begin() == own.core->serverId();
-    if (leads) own.replacement->review();
-    co_await sleep(*own.clock, 100ms);
+    const auto& engine = node.core->engine();
+    bool leads = engine.state() == EngineState::regPrim && *engine.conf().members.begin() == node.core->serverId();
+    if (leads) node.replacement->review();
+    co_await sleep(*node.clock, 100ms);
   }
 }
 
 void EngineCluster::stop(std::size_t index) {
-  if (!up(index)) return;
-  note("stop " + std::to_string(index + 1));
+  if (!isUp(index)) return;
+  log("stop " + std::to_string(index + 1));
   auto& core = *nodes[index]->core;
   auto deadline = world.now() + 4s;
-  while (world.now() < deadline && !MemberReplacement::othersHoldAll(core.engine(), core.serverId(), losses)) run(25ms);
-  if (leavesWhenSpare && MemberReplacement::spare(core.engine(), core.serverId(), losses)) core.engine().requestLeave(core.serverId());
-  while (leavesWhenSpare && world.now() < deadline && MemberReplacement::spare(core.engine(), core.serverId(), losses)) run(25ms);
+  while (world.now() < deadline && !MemberReplacement::othersHoldAll(core.engine(), core.serverId(), toleratedLosses)) run(25ms);
+  if (leavesWhenSpare && MemberReplacement::spare(core.engine(), core.serverId(), toleratedLosses))
+    core.engine().requestLeave(core.serverId());
+  while (leavesWhenSpare && world.now() < deadline && MemberReplacement::spare(core.engine(), core.serverId(), toleratedLosses)) run(25ms);
   core.retire();
   run(200ms);
   kill(index);
 }
 
-std::set<std::string> EngineCluster::synced(std::size_t index) const {
+std::set<std::string> EngineCluster::syncedUpdates(std::size_t index) const {
   std::set<std::string> held;
   auto add = [&](const std::string& body) {
     if (auto action = unpacked<Action>(body); action && action->type == ActionType::action) held.insert(action->update);
@@ -95,20 +96,20 @@
 }
 
 void EngineCluster::kill(std::size_t index) {
-  auto& own = *nodes[index];
-  if (own.core) note("kill " + std::to_string(index + 1));
+  auto& node = *nodes[index];
+  if (node.core) log("kill " + std::to_string(index + 1));
   scopes_[index] = std::make_unique<TaskScope>();
-  own.replacement.reset();
-  own.core.reset();
-  own.application.reset();
-  own.store.reset();
-  own.link.reset();
-  own.clock.reset();
-  own.disk.crash();
+  node.replacement.reset();
+  node.core.reset();
+  node.application.reset();
+  node.store.reset();
+  node.link.reset();
+  node.clock.reset();
+  node.disk.crash();
 }
 
 void EngineCluster::submit(std::size_t index) {
-  if (up(index)) scopes_[index]->spawn(submitAndWait(index, "u" + std::to_string(++submitted) + std::string(paddingBytes, 'x')));
+  if (isUp(index)) scopes_[index]->spawn(submitAndWait(index, "u" + std::to_string(++submitted) + std::string(paddingBytes, 'x')));
 }
 
 Task<void> EngineCluster::submitAndWait(std::size_t index, std::string update) {
@@ -124,35 +125,35 @@
   }));
 }
 
-void EngineCluster::observe(std::size_t index, std::uint64_t position, const std::string& update) {
-  note("node " + std::to_string(index + 1) + ": " + update + " green at " + std::to_string(position));
-  auto [found, fresh] = order.emplace(position, update);
-  if (!fresh && found->second != update) note("the order breaks here");
+void EngineCluster::recordGreen(std::size_t index, std::uint64_t position, const std::string& update) {
+  log("node " + std::to_string(index + 1) + ": " + update + " green at " + std::to_string(position));
+  auto [found, fresh] = greenOrder.emplace(position, update);
+  if (!fresh && found->second != update) log("position " + std::to_string(position) + " has another update here than at an earlier member");
   if (!fresh && found->second != update)
-    faults.push_back("node " + std::to_string(index + 1) + " has " + update + " green at " + std::to_string(position) + ", another had " +
-                     found->second);
+    faults.push_back("node " + std::to_string(index + 1) + " has " + update + " green at position " + std::to_string(position) +
+                     ", another member had " + found->second);
 }
 
-void EngineCluster::note(const std::string& text) {
-  lines.push_back(std::to_string(milliseconds(world.now().time_since_epoch()).count()) + "ms " + text);
+void EngineCluster::log(const std::string& text) {
+  logLines.push_back(std::to_string(milliseconds(world.now().time_since_epoch()).count()) + "ms " + text);
 }
 
 void EngineCluster::verify() {
   std::set<std::string> seen;
-  for (const auto& [position, update] : order)
+  for (const auto& [position, update] : greenOrder)
     if (!seen.insert(update).second) faults.push_back(update + " is green twice");
   for (const auto& [update, position] : acknowledged) {
-    auto found = order.find(position);
-    if (found == order.end() || found->second != update)
-      faults.push_back(update + " was acknowledged at " + std::to_string(position) + " and is not there");
+    auto found = greenOrder.find(position);
+    if (found == greenOrder.end() || found->second != update)
+      faults.push_back(update + " was acknowledged at position " + std::to_string(position) + " and is not in the order there");
   }
   for (std::size_t index = 0; index < nodes.size(); ++index) {
-    if (!up(index)) continue;
+    if (!isUp(index)) continue;
     const auto& applied = nodes[index]->application->applied;
     for (const auto& [update, position] : acknowledged)
       if (std::find(applied.begin(), applied.end(), update) == applied.end()) {
-        faults.push_back("node " + std::to_string(index + 1) + " (" + text(nodes[index]->core->engine().state()) + ") lacks acknowledged " +
-                         update);
+        faults.push_back("node " + std::to_string(index + 1) + " (" + text(nodes[index]->core->engine().state()) +
+                         ") lacks the acknowledged update " + update);
         break;
       }
   }
--- a/tests/engine_replacement_test.cpp
+++ b/tests/engine_replacement_test.cpp
@@ -1,8 +1,9 @@
-// Members that are replaced at other addresses, planned and unplanned, with a second loss at every stage.
+// Members are replaced at other addresses, planned and unplanned, and a second member is lost at every stage. Guards against
+// acknowledged actions that are on too few disks to survive the second loss.
 //
-// What must hold at every moment: each acknowledged action is synced on at least losses + 1 disks of members, less
-// the disks that were lost since and whose machines have not caught up; and the group goes on once the machines that
-// may be lost are back.
+// What must hold at every moment: each acknowledged action is synced on at least toleratedLosses + 1 disks of members, less
+// the disks that were lost since and whose machines have not caught up; and the group continues once the machines that may be
+// lost are back.
 
 #include <catch2/catch.hpp>
 
@@ -16,46 +17,47 @@
 
 namespace {
 
-constexpr Duration catchUp = 4s;
+// after this, a started member must hold everything
+constexpr Duration catchUpTime = 4s;
 
 struct Replacement : EngineCluster {
   Replacement(std::size_t members, std::size_t slots, std::uint64_t seed) : EngineCluster(slots, seed) {
-    losses = (members - 1) / 2;
+    toleratedLosses = (members - 1) / 2;
     bounds.maxGreenKept = 10;
     bounds.rewriteThresholdBytes = 10'000;
-    for (std::size_t index = 0; index < members; ++index) begin(index);
+    for (std::size_t index = 0; index < members; ++index) startMember(index);
     run(3s);
-    work(500ms);
+    submitFor(500ms);
   }
 
-  void begin(std::size_t index) {
-    if (founded) seeds = listed();
+  void startMember(std::size_t index) {
+    if (founded) seeds = seedList();
     start(index);
     serving.insert(index);
     founded = founded || serving.size() >= 3;
     startedAt[index] = world.now();
   }
-  /// The operator's list, which lags: members that serve, and the last that went, to make three.
-  std::set<std::size_t> listed() const {
+  /// The operator's list of seeds, which lags: members that serve, filled up to three with the machines that were lost last.
+  std::set<std::size_t> seedList() const {
     auto list = serving;
-    for (auto each = gone.rbegin(); each != gone.rend() && list.size() < 3; ++each) list.insert(*each);
+    for (auto each = lostMachines.rbegin(); each != lostMachines.rend() && list.size() < 3; ++each) list.insert(*each);
     return list;
   }
-  /// The machine is gone for good, its disk with it.
-  void goneForGood(std::size_t index) {
+  /// The machine is lost for good, and its disk with it.
+  void loseMachine(std::size_t index) {
     kill(index);
     serving.erase(index);
-    gone.push_back(index);
+    lostMachines.push_back(index);
     nodes[index]->disk.empty();
     lostDisks.insert(index);
   }
-  void wipe(std::size_t index) {
+  void killAndEmptyDisk(std::size_t index) {
     kill(index);
     nodes[index]->disk.empty();
   }
 
-  /// Lets time pass with orders to every member, and looks at the copies after each.
-  void work(Duration duration) {
+  /// Submits updates to random members for this time and checks the copies after each.
+  void submitFor(Duration duration) {
     auto until = world.now() + duration;
     while (world.now() < until) {
       submit(*std::next(serving.begin(), static_cast<std::ptrdiff_t>(world.below(serving.size()))));
@@ -79,89 +81,89 @@
     auto members = group();
     if (members.empty()) return;
     std::map<std::string, std::size_t> copies;
-    std::size_t behind = 0;
+    std::size_t notCaughtUp = 0;
     for (auto index : serving) {
-      bool fresh = startedAt.contains(index) && world.now() - startedAt.at(index) < catchUp;
-      bool counts = up(index) && members.contains(nodes[index]->core->serverId());
-      if (fresh || !counts) ++behind;
-      if (!counts && up(index)) continue;
-      for (const auto& update : synced(index)) ++copies[update];
+      bool recentlyStarted = startedAt.contains(index) && world.now() - startedAt.at(index) < catchUpTime;
+      bool isCountedMember = isUp(index) && members.contains(nodes[index]->core->serverId());
+      if (recentlyStarted || !isCountedMember) ++notCaughtUp;
+      if (!isCountedMember && isUp(index)) continue;
+      for (const auto& update : syncedUpdates(index)) ++copies[update];
     }
     for (const auto& [update, position] : acknowledged)
-      if (copies[update] + std::max(behind, lostDisks.size()) < losses + 1)
+      if (copies[update] + std::max(notCaughtUp, lostDisks.size()) < toleratedLosses + 1)
         faults.push_back(update + " is synced on " + std::to_string(copies[update]) + " disks only");
   }
 
   void settle() {
     for (auto index : serving) start(index);
     run(8s);
-    work(500ms);
+    submitFor(500ms);
     run(1s);
     std::size_t primary = 0;
-    for (auto index : serving) primary += up(index) && nodes[index]->core->engine().state() == EngineState::regPrim;
+    for (auto index : serving) primary += isUp(index) && nodes[index]->core->engine().state() == EngineState::regPrim;
     if (primary != serving.size())
       faults.push_back("only " + std::to_string(primary) + " of " + std::to_string(serving.size()) + " are in the primary component");
     if (group().size() != serving.size()) faults.push_back("the group has " + std::to_string(group().size()) + " members");
     auto before = acknowledged.size();
-    work(500ms);
-    if (acknowledged.size() == before) faults.push_back("nothing is acknowledged at the end");
-    // what one member has green reaches the others a moment later
+    submitFor(500ms);
+    if (acknowledged.size() == before) faults.push_back("no update is acknowledged at the end");
+    // the other members make an action green a moment after the first one
     run(200ms);
     verify();
   }
 
   std::set<std::size_t> serving;
-  std::vector<std::size_t> gone;
+  std::vector<std::size_t> lostMachines;
   bool founded = false;
   std::set<std::size_t> lostDisks;
   std::map<std::size_t, Instant> startedAt;
 };
 
-void require(const Replacement& cluster) {
+void requireNoFaults(const Replacement& cluster) {
   if (std::getenv("ENGINE_LINES") && !cluster.faults.empty())
-    for (const auto& line : cluster.lines) std::puts(line.c_str());
+    for (const auto& line : cluster.logLines) std::puts(line.c_str());
   for (const auto& fault : cluster.faults) UNSCOPED_INFO(fault);
   REQUIRE(cluster.faults.empty());
 }
 
-/// Kills a member, with its disk or not, at `offset` after the newcomer started, and brings it back.
+/// Kills a member `offset` after the newcomer started, with its disk or without, and starts it again.
 void secondLoss(Replacement& cluster, std::size_t second, Duration offset, bool losesDisk) {
-  cluster.work(offset);
+  cluster.submitFor(offset);
   if (losesDisk)
-    cluster.wipe(second);
+    cluster.killAndEmptyDisk(second);
   else
     cluster.kill(second);
-  cluster.work(400ms);
-  cluster.begin(second);
+  cluster.submitFor(400ms);
+  cluster.startMember(second);
 }
 
 }  // namespace
 
-TEST_CASE("a second loss at every stage of an unplanned replacement costs nothing that was acknowledged") {
-  for (std::size_t gone = 0; gone < 3; ++gone)
+TEST_CASE("a second loss at any stage of an unplanned replacement loses no acknowledged update") {
+  for (std::size_t lost = 0; lost < 3; ++lost)
     for (std::size_t second = 0; second < 4; ++second) {
-      if (second == gone) continue;
+      if (second == lost) continue;
       for (auto offset = Duration::zero(); offset <= 5s; offset += 200ms) {
-        bool losesDisk = offset >= catchUp;
-        INFO("member " << gone + 1 << " gone, then " << second + 1 << " after " << milliseconds(offset).count() << " ms, disk "
+        bool losesDisk = offset >= catchUpTime;
+        INFO("member " << lost + 1 << " lost, then " << second + 1 << " after " << milliseconds(offset).count() << " ms, disk "
                        << (losesDisk ? "lost" : "kept"));
         Replacement cluster(3, 4, 7 + second);
-        cluster.goneForGood(gone);
-        cluster.work(900ms);
-        cluster.begin(3);
+        cluster.loseMachine(lost);
+        cluster.submitFor(900ms);
+        cluster.startMember(3);
         secondLoss(cluster, second, offset, losesDisk);
         cluster.settle();
-        require(cluster);
+        requireNoFaults(cluster);
       }
     }
 }
 
 namespace {
 
-/// A newcomer has had its time, the old member stops, and another one loses its disk `offset` later.
+/// A newcomer has caught up, the old member stops, and another one loses its disk `offset` later.
 void plannedReplacement(Replacement& cluster, std::size_t leaver, std::size_t second, Duration offset) {
-  cluster.begin(3);
-  cluster.work(catchUp);
+  cluster.startMember(3);
+  cluster.submitFor(catchUpTime);
   cluster.stop(leaver);
   cluster.serving.erase(leaver);
   secondLoss(cluster, second, offset, true);
@@ -170,7 +172,7 @@
 
 }  // namespace
 
-TEST_CASE("a second loss at every stage of a planned replacement costs nothing, also right after the old member stopped") {
+TEST_CASE("a second loss at any stage of a planned replacement loses no acknowledged update, also right after the old member stopped") {
   for (std::size_t leaver = 0; leaver < 3; ++leaver)
     for (std::size_t second = 0; second < 4; ++second) {
       if (second == leaver) continue;
@@ -179,7 +181,7 @@
                        << " ms");
         Replacement cluster(3, 4, 11 + second);
         plannedReplacement(cluster, leaver, second, offset);
-        require(cluster);
+        requireNoFaults(cluster);
       }
     }
 }
@@ -191,73 +193,73 @@
   CHECK_FALSE(cluster.faults.empty());
 }
 
-TEST_CASE("a member that stops waits until enough others hold what it acknowledged") {
+TEST_CASE("a stopping member waits until enough others hold what it acknowledged") {
   for (std::size_t leaver = 0; leaver < 3; ++leaver) {
     Replacement cluster(3, 3, 17);
     auto other = (leaver + 1) % 3;
     auto third = (leaver + 2) % 3;
     cluster.kill(other);
-    cluster.work(2s);
+    cluster.submitFor(2s);
     cluster.start(other);
     cluster.stop(leaver);
     for (const auto& [update, position] : cluster.acknowledged)
-      CHECK((cluster.synced(other).contains(update) && cluster.synced(third).contains(update)));
+      CHECK((cluster.syncedUpdates(other).contains(update) && cluster.syncedUpdates(third).contains(update)));
     cluster.start(leaver);
     cluster.settle();
-    require(cluster);
+    requireNoFaults(cluster);
   }
 }
 
-TEST_CASE("members stop and are replaced at random, one machine lost at a time, and all that was acknowledged stays") {
+TEST_CASE("members stop and are replaced at random with one machine lost at a time, and no acknowledged update is lost") {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     INFO("seed " << seed);
     Replacement cluster(3, 12, seed);
     std::size_t next = 3;
     for (int round = 0; round < 9; ++round) {
-      auto one = *std::next(cluster.serving.begin(), static_cast<std::ptrdiff_t>(cluster.world.below(cluster.serving.size())));
+      auto member = *std::next(cluster.serving.begin(), static_cast<std::ptrdiff_t>(cluster.world.below(cluster.serving.size())));
       switch (cluster.world.below(5)) {
         case 0:
-          cluster.goneForGood(one);
-          cluster.work(Duration{cluster.world.below(2'000'000)});
-          cluster.begin(next++);
+          cluster.loseMachine(member);
+          cluster.submitFor(Duration{cluster.world.below(2'000'000)});
+          cluster.startMember(next++);
           break;
         case 1:
-          cluster.begin(next++);
-          cluster.work(Duration{cluster.world.below(2'000'000)});
-          cluster.stop(one);
-          cluster.serving.erase(one);
+          cluster.startMember(next++);
+          cluster.submitFor(Duration{cluster.world.below(2'000'000)});
+          cluster.stop(member);
+          cluster.serving.erase(member);
           break;
         case 2:
-          cluster.wipe(one);
-          cluster.work(Duration{cluster.world.below(2'000'000)});
-          cluster.begin(one);
+          cluster.killAndEmptyDisk(member);
+          cluster.submitFor(Duration{cluster.world.below(2'000'000)});
+          cluster.startMember(member);
           break;
         case 3:
-          cluster.stop(one);
-          cluster.work(Duration{cluster.world.below(1'000'000)});
-          cluster.begin(one);
+          cluster.stop(member);
+          cluster.submitFor(Duration{cluster.world.below(1'000'000)});
+          cluster.startMember(member);
           break;
         default:
-          cluster.kill(one);
-          cluster.work(Duration{cluster.world.below(3'000'000)});
-          cluster.begin(one);
+          cluster.kill(member);
+          cluster.submitFor(Duration{cluster.world.below(3'000'000)});
+          cluster.startMember(member);
       }
-      cluster.work(catchUp);
+      cluster.submitFor(catchUpTime);
     }
     cluster.settle();
-    require(cluster);
+    requireNoFaults(cluster);
   }
 }
 
-TEST_CASE("five members bear two losses at every stage of a replacement") {
+TEST_CASE("five members survive two losses at any stage of a replacement") {
   for (auto offset = Duration::zero(); offset <= 5s; offset += 500ms) {
     INFO("second loss after " << milliseconds(offset).count() << " ms");
     Replacement cluster(5, 6, 23);
-    cluster.goneForGood(0);
-    cluster.work(900ms);
-    cluster.begin(5);
+    cluster.loseMachine(0);
+    cluster.submitFor(900ms);
+    cluster.startMember(5);
     secondLoss(cluster, 2, offset, true);
     cluster.settle();
-    require(cluster);
+    requireNoFaults(cluster);
   }
 }
--- a/tests/engine_schedules_test.cpp
+++ b/tests/engine_schedules_test.cpp
@@ -1,3 +1,7 @@
+// Random schedules of crashes, network cuts, message loss, freezes and disk losses. Guards against members with different orders
+// and against the loss of acknowledged updates.
+// ENGINE_SEEDS sets the number of seeds (40 otherwise); with ENGINE_LINES set, the log of a failing schedule is printed.
+
 #include <catch2/catch.hpp>
 
 #include <cstdio>
@@ -10,13 +14,15 @@
 
 namespace {
 
+/// Random faults on a cluster.
 struct Schedule {
   EngineCluster& cluster;
   bool losesDisks;
-  std::set<std::size_t> lost;
+  // members that lost their disk since all were last in the primary component; only one of them at a time
+  std::set<std::size_t> lostDisks;
 
-  void settled() {
-    if (cluster.primaryMemberCount() == cluster.nodes.size()) lost.clear();
+  void forgetRecoveredDisks() {
+    if (cluster.primaryMemberCount() == cluster.nodes.size()) lostDisks.clear();
   }
 
   void step() {
@@ -24,7 +30,7 @@
     auto size = cluster.nodes.size();
     auto node = world.below(size);
     auto other = world.below(size);
-    settled();
+    forgetRecoveredDisks();
     switch (world.below(12)) {
       case 0:
       case 1:
@@ -49,16 +55,16 @@
         cluster.network.lose(static_cast<unsigned>(world.below(2) * 100));
         break;
       case 9:
-        if (losesDisks && (lost.empty() || lost.contains(node))) {
+        if (losesDisks && (lostDisks.empty() || lostDisks.contains(node))) {
           cluster.kill(node);
           cluster.nodes[node]->disk.empty();
-          lost.insert(node);
+          lostDisks.insert(node);
         }
         break;
       case 10:
-        if (cluster.up(node)) cluster.nodes[node]->clock->freeze();
+        if (cluster.isUp(node)) cluster.nodes[node]->clock->freeze();
         cluster.run(Duration{world.below(1'200'000)});
-        if (cluster.up(node)) cluster.nodes[node]->clock->thaw();
+        if (cluster.isUp(node)) cluster.nodes[node]->clock->thaw();
         break;
       default:
         for (std::size_t index = 0; index < size; ++index) cluster.start(index);
@@ -99,7 +105,7 @@
   if (cluster.acknowledged.size() < 10)
     cluster.faults.push_back("only " + std::to_string(cluster.acknowledged.size()) + " actions were acknowledged");
   if (std::getenv("ENGINE_LINES") && !cluster.faults.empty())
-    for (const auto& line : cluster.lines) std::puts(line.c_str());
+    for (const auto& line : cluster.logLines) std::puts(line.c_str());
   return cluster.faults;
 }
 
@@ -122,12 +128,12 @@
 TEST_CASE("three engines keep one order through crashes, cuts, losses and freezes") {
   runSeeds(3, false, 2000);
 }
-TEST_CASE("three engines keep one order and all acknowledged when disks are lost one at a time") {
+TEST_CASE("three engines keep one order and all acknowledged updates when disks are lost one at a time") {
   runSeeds(3, true, 2000);
 }
 TEST_CASE("five engines keep one order through crashes, cuts, losses and freezes") {
   runSeeds(5, false, 2000);
 }
-TEST_CASE("engines that discard early keep one order through snapshots") {
+TEST_CASE("engines that discard green actions early keep one order through snapshots") {
   runSeeds(3, true, 3);
 }
--- a/tests/group_history.cpp
+++ b/tests/group_history.cpp
@@ -4,97 +4,99 @@
 
 namespace tamarindshift::testing {
 
-std::size_t GroupHistory::born(const ServerId& server) {
-  lives_.push_back(GroupLife{server, {}});
-  return lives_.size() - 1;
+std::size_t GroupHistory::addProcess(const ServerId& server) {
+  processes_.push_back(ProcessRecord{server, {}});
+  return processes_.size() - 1;
 }
 
-void GroupHistory::fault(const std::string& text) {
+void GroupHistory::addFault(const std::string& text) {
   if (faults.size() < 10) faults.push_back(text);
 }
 
-void GroupHistory::regular(std::size_t life, const Configuration& configuration) {
-  auto& own = lives_[life];
-  if (!own.stretches.empty()) {
-    if (!own.stretches.back().transitional) fault("no transitional configuration before a regular one");
-    if (configuration.confId <= own.stretches.back().configuration.confId) fault("a view that does not rise");
+void GroupHistory::regular(std::size_t process, const Configuration& configuration) {
+  auto& own = processes_[process];
+  if (!own.views.empty()) {
+    if (!own.views.back().transitional) addFault("no transitional configuration before a regular one");
+    if (configuration.confId <= own.views.back().configuration.confId) addFault("a view id that is not higher than the one before");
   }
-  if (!configuration.members.contains(own.server)) fault("a view without its own member");
+  if (!configuration.members.contains(own.server)) addFault("a view without the process that installed it");
   auto [known, fresh] = members_.emplace(configuration.confId, configuration.members);
-  if (!fresh && known->second != configuration.members) fault("members of one view differ");
-  own.stretches.push_back(GroupStretch{configuration, {}, {}, {}, 0, std::nullopt});
+  if (!fresh && known->second != configuration.members) addFault("one view with different members at two processes");
+  own.views.push_back(ViewRecord{configuration, {}, {}, {}, 0, std::nullopt});
 }
 
-void GroupHistory::transitional(std::size_t life, const std::set<ServerId>& members) {
-  auto& own = lives_[life];
-  if (own.stretches.empty()) return;
-  auto& last = own.stretches.back();
-  if (last.transitional) fault("two transitional configurations in a row");
+void GroupHistory::transitional(std::size_t process, const std::set<ServerId>& members) {
+  auto& own = processes_[process];
+  if (own.views.empty()) return;
+  auto& last = own.views.back();
+  if (last.transitional) addFault("two transitional configurations in a row");
   last.transitional = members;
-  if (!members.contains(own.server)) fault("a transitional set without its own member");
+  if (!members.contains(own.server)) addFault("a transitional configuration without the process itself");
   if (!std::includes(last.configuration.members.begin(), last.configuration.members.end(), members.begin(), members.end()))
-    fault("a transitional set with members from elsewhere");
+    addFault("a transitional configuration with members that were not in the view");
 }
 
-void GroupHistory::received(std::size_t life, const Delivery& delivery) {
-  auto& last = lives_[life].stretches.back();
+void GroupHistory::received(std::size_t process, const Delivery& delivery) {
+  auto& last = processes_[process].views.back();
   last.received[delivery.sequence] = delivery.payload;
-  if (delivery.sender == lives_[life].server) last.own.insert(delivery.payload);
+  if (delivery.sender == processes_[process].server) last.own.insert(delivery.payload);
 }
 
-void GroupHistory::stable(std::size_t life, const ViewId& view, std::uint64_t upto) {
-  auto& held = stable_[view][lives_[life].server];
-  held = std::max(held, upto);
+void GroupHistory::stable(std::size_t process, const ViewId& view, std::uint64_t sequence) {
+  auto& held = stable_[view][processes_[process].server];
+  held = std::max(held, sequence);
 }
 
-void GroupHistory::delivered(std::size_t life, const Delivery& delivery) {
-  auto& last = lives_[life].stretches.back();
+void GroupHistory::delivered(std::size_t process, const Delivery& delivery) {
+  auto& last = processes_[process].views.back();
   const auto& view = last.configuration.confId;
-  if (delivery.view != view) fault("delivered in another view than sent");
-  if (delivery.sequence != last.delivered.size() + 1) fault("a gap or a repeat in the order");
+  if (delivery.view != view) addFault("delivered in another view than ordered");
+  if (delivery.sequence != last.delivered.size() + 1) addFault("a gap or a repetition in the sequence numbers");
   auto [known, fresh] = order_[view].emplace(delivery.sequence, delivery.payload);
-  if (!fresh && known->second != delivery.payload) fault("two orders in one view");
+  if (!fresh && known->second != delivery.payload) addFault("two messages at one position of a view");
   last.delivered.emplace_back(delivery.sequence, delivery.payload);
   if (last.transitional) {
-    ++inTransition;
+    ++transitionalDeliveries;
     return;
   }
-  ++safe;
-  ++last.safely;
-  auto& upto = safeUpTo_[view];
-  upto = std::max(upto, delivery.sequence);
+  ++safeDeliveries;
+  ++last.safeCount;
+  auto& safeUpTo = safeUpTo_[view];
+  safeUpTo = std::max(safeUpTo, delivery.sequence);
   for (const auto& member : last.configuration.members)
-    if (stable_[view][member] < delivery.sequence) fault("delivered as safe and not held by " + text(member));
+    if (stable_[view][member] < delivery.sequence) addFault("delivered as safe, but not stored by " + text(member));
 }
 
-void GroupHistory::compare(const GroupLife& left, const GroupLife& right) {
-  for (std::size_t one = 0; one + 1 < left.stretches.size(); ++one)
-    for (std::size_t two = 0; two + 1 < right.stretches.size(); ++two) {
-      const auto& mine = left.stretches[one];
-      const auto& theirs = right.stretches[two];
+void GroupHistory::compare(const ProcessRecord& left, const ProcessRecord& right) {
+  for (std::size_t one = 0; one + 1 < left.views.size(); ++one)
+    for (std::size_t two = 0; two + 1 < right.views.size(); ++two) {
+      const auto& mine = left.views[one];
+      const auto& theirs = right.views[two];
       if (mine.configuration.confId != theirs.configuration.confId) continue;
-      if (left.stretches[one + 1].configuration.confId != right.stretches[two + 1].configuration.confId) continue;
-      ++together;
-      if (mine.transitional != theirs.transitional) fault("transitional sets differ of two that went together");
-      if (mine.transitional && !mine.transitional->contains(right.server)) fault("a transitional set without one that went along");
-      if (mine.delivered != theirs.delivered) fault("two that went together delivered different messages");
+      if (left.views[one + 1].configuration.confId != right.views[two + 1].configuration.confId) continue;
+      ++commonTransitions;
+      if (mine.transitional != theirs.transitional)
+        addFault("two processes changed view together with different transitional configurations");
+      if (mine.transitional && !mine.transitional->contains(right.server))
+        addFault("a transitional configuration without a process that changed view together with this one");
+      if (mine.delivered != theirs.delivered) addFault("two processes changed view together and delivered different messages");
     }
 }
 
-void GroupHistory::judge() {
-  for (const auto& life : lives_)
-    for (std::size_t index = 0; index + 1 < life.stretches.size(); ++index) {
-      const auto& stretch = life.stretches[index];
-      if (stretch.delivered.size() < safeUpTo_[stretch.configuration.confId])
-        fault(text(life.server) + " lacks what another delivered as safe");
-      for (const auto& payload : stretch.own)
-        if (std::none_of(stretch.delivered.begin(), stretch.delivered.end(), [&](const auto& each) {
+void GroupHistory::verify() {
+  for (const auto& process : processes_)
+    for (std::size_t index = 0; index + 1 < process.views.size(); ++index) {
+      const auto& viewRecord = process.views[index];
+      if (viewRecord.delivered.size() < safeUpTo_[viewRecord.configuration.confId])
+        addFault(text(process.server) + " did not deliver what another process delivered as safe");
+      for (const auto& payload : viewRecord.own)
+        if (std::none_of(viewRecord.delivered.begin(), viewRecord.delivered.end(), [&](const auto& each) {
               return each.second == payload;
             }))
-          fault(text(life.server) + " did not deliver its own " + payload);
+          addFault(text(process.server) + " did not deliver its own " + payload);
     }
-  for (std::size_t left = 0; left < lives_.size(); ++left)
-    for (std::size_t right = left + 1; right < lives_.size(); ++right) compare(lives_[left], lives_[right]);
+  for (std::size_t left = 0; left < processes_.size(); ++left)
+    for (std::size_t right = left + 1; right < processes_.size(); ++right) compare(processes_[left], processes_[right]);
 }
 
 }  // namespace tamarindshift::testing
--- a/tests/group_schedules_test.cpp
+++ b/tests/group_schedules_test.cpp
@@ -1,3 +1,6 @@
+// Random schedules of crashes, cuts, message loss and freezes on the group layer alone. Guards against members that deliver
+// different messages or another order, and shows that the checks detect a layer that does.
+
 #include <catch2/catch.hpp>
 
 #include <memory>
@@ -13,21 +16,22 @@
 
 namespace {
 
-enum class Breach { none, acknowledgesUnsynced, changesOrder, forgetsHeld };
+/// A rule of the group layer that is broken on purpose.
+enum class Violation { none, acknowledgesUnsynced, changesOrder, dropsFlushedDeliveries };
 
-class BreachingLink : public SimulatedLink {
+class ViolatingLink : public SimulatedLink {
  public:
-  BreachingLink(SimulatedNetwork& network, Clock& clock, Address own, Breach breach)
-      : SimulatedLink(network, clock, std::move(own)), world_(network.world()), breach_(breach) {}
+  ViolatingLink(SimulatedNetwork& network, Clock& clock, Address own, Violation violation)
+      : SimulatedLink(network, clock, std::move(own)), world_(network.world()), violation_(violation) {}
   void pass(const Address& peer, Envelope envelope) override {
-    if (breach_ == Breach::changesOrder && envelope.type == MessageType::groupOrdered && world_.chance(100))
+    if (violation_ == Violation::changesOrder && envelope.type == MessageType::groupOrdered && world_.chance(100))
       if (auto ordered = unpacked<GroupOrdered>(envelope.body)) {
         ordered->delivery.payload += "!";
         envelope.body = packed(*ordered);
       }
-    if (breach_ == Breach::forgetsHeld && envelope.type == MessageType::groupInstall)
+    if (violation_ == Violation::dropsFlushedDeliveries && envelope.type == MessageType::groupInstall)
       if (auto install = unpacked<GroupInstall>(envelope.body)) {
-        for (auto& [view, branch] : install->branches) branch.held.clear();
+        for (auto& [view, previousView] : install->previousViews) previousView.deliveries.clear();
         envelope.body = packed(*install);
       }
     SimulatedLink::pass(peer, std::move(envelope));
@@ -35,19 +39,20 @@
 
  private:
   World& world_;
-  Breach breach_;
+  Violation violation_;
 };
 
 class GroupProcess : public GroupListener {
  public:
-  GroupProcess(World& world, SimulatedNetwork& network, GroupHistory& history, ServerId server, std::set<Address> seeds, Breach breach)
+  GroupProcess(World& world, SimulatedNetwork& network, GroupHistory& history, ServerId server, std::set<Address> seeds,
+               Violation violation)
       : world_(world),
         history_(history),
-        life_(history.born(server)),
-        breach_(breach),
+        process_(history.addProcess(server)),
+        violation_(violation),
         clock_(world),
         journal_("group", [](const std::string&) {}),
-        link_(network, clock_, server.address, breach),
+        link_(network, clock_, server.address, violation),
         group_(clock_, link_, journal_, Member{server, Boot{world.incarnation()}}, std::move(seeds), GroupTimings{}) {
     group_.join(*this);
   }
@@ -57,18 +62,18 @@
 
   void regularConfiguration(const Configuration& configuration) override {
     members_ = configuration.members.size();
-    history_.regular(life_, configuration);
+    history_.regular(process_, configuration);
   }
-  void transitionalConfiguration(const std::set<ServerId>& members) override { history_.transitional(life_, members); }
-  void deliver(const Delivery& delivery) override { history_.delivered(life_, delivery); }
+  void transitionalConfiguration(const std::set<ServerId>& members) override { history_.transitional(process_, members); }
+  void deliver(const Delivery& delivery) override { history_.delivered(process_, delivery); }
   void received(const std::vector<Delivery>& deliveries, std::function<void()> stable) override {
     const auto& last = deliveries.back();
-    for (const auto& delivery : deliveries) history_.received(life_, delivery);
-    auto synced = [this, view = last.view, upto = last.sequence] {
-      history_.stable(life_, view, upto);
+    for (const auto& delivery : deliveries) history_.received(process_, delivery);
+    auto synced = [this, view = last.view, sequence = last.sequence] {
+      history_.stable(process_, view, sequence);
     };
     Duration latency{1000 + world_.below(6000)};
-    if (breach_ == Breach::acknowledgesUnsynced) {
+    if (violation_ == Violation::acknowledgesUnsynced) {
       clock_.after(latency, synced);
       stable();
     } else {
@@ -84,16 +89,16 @@
  private:
   World& world_;
   GroupHistory& history_;
-  std::size_t life_;
-  Breach breach_;
+  std::size_t process_;
+  Violation violation_;
   std::size_t members_ = 0;
   SimulatedClock clock_;
   SimulatedJournal journal_;
-  BreachingLink link_;
+  ViolatingLink link_;
   SequencedGroup group_;
 };
 
-GroupHistory randomSchedule(std::uint64_t seed, std::size_t size, Breach breach) {
+GroupHistory randomSchedule(std::uint64_t seed, std::size_t size, Violation violation) {
   World world(seed);
   SimulatedNetwork network(world);
   GroupHistory history;
@@ -106,7 +111,7 @@
   auto start = [&](std::size_t index) {
     if (processes[index]) return;
     ServerId server{Address{host(index) + ":1"}, Incarnation{index + 1}};
-    processes[index] = std::make_unique<GroupProcess>(world, network, history, server, seeds, breach);
+    processes[index] = std::make_unique<GroupProcess>(world, network, history, server, seeds, violation);
   };
   auto run = [&](Duration duration) {
     world.runUntil(world.now() + duration);
@@ -159,13 +164,13 @@
   run(8s);
   for (const auto& process : processes)
     if (process->members() != size) history.faults.push_back("not all are in one view at the end");
-  history.judge();
+  history.verify();
   return history;
 }
 
-bool noticed(Breach breach, const std::string& expected) {
+bool isDetected(Violation violation, const std::string& expected) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed)
-    for (const auto& fault : randomSchedule(seed, 3, breach).faults)
+    for (const auto& fault : randomSchedule(seed, 3, violation).faults)
       if (fault.find(expected) != std::string::npos) return true;
   return false;
 }
@@ -173,24 +178,24 @@
 }  // namespace
 
 TEST_CASE("the group layer keeps Extended Virtual Synchrony through cuts, crashes, losses and merges") {
-  std::size_t safe = 0, inTransition = 0, together = 0;
+  std::size_t safe = 0, transitionalDeliveries = 0, commonTransitions = 0;
   for (std::size_t size : {3u, 5u})
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-      auto history = randomSchedule(seed, size, Breach::none);
+      auto history = randomSchedule(seed, size, Violation::none);
       INFO("seed " << seed << " size " << size);
       for (const auto& fault : history.faults) UNSCOPED_INFO(fault);
       REQUIRE(history.faults.empty());
-      safe += history.safe;
-      inTransition += history.inTransition;
-      together += history.together;
+      safe += history.safeDeliveries;
+      transitionalDeliveries += history.transitionalDeliveries;
+      commonTransitions += history.commonTransitions;
     }
   CHECK(safe > 1000);
-  CHECK(inTransition > 100);
-  CHECK(together > 100);
+  CHECK(transitionalDeliveries > 100);
+  CHECK(commonTransitions > 100);
 }
 
-TEST_CASE("the checkers notice a group layer that breaks its promises") {
-  CHECK(noticed(Breach::acknowledgesUnsynced, "not held by"));
-  CHECK(noticed(Breach::changesOrder, "two orders in one view"));
-  CHECK(noticed(Breach::forgetsHeld, "went together delivered different messages"));
+TEST_CASE("the checks detect a group layer that violates its guarantees") {
+  CHECK(isDetected(Violation::acknowledgesUnsynced, "not stored by"));
+  CHECK(isDetected(Violation::changesOrder, "two messages at one position of a view"));
+  CHECK(isDetected(Violation::dropsFlushedDeliveries, "changed view together and delivered different messages"));
 }
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -9,7 +9,7 @@
 
 std::size_t casesWithViolations = 0;
 
-/// Invariants are on in every test: a case in which a program violated one fails, whatever it asserts itself.
+/// Invariants are checked in every test: a case during which a program violated one fails, even if all of its own assertions hold.
 struct InvariantListener : Catch::TestEventListenerBase {
   using TestEventListenerBase::TestEventListenerBase;
   void testCaseEnded(const Catch::TestCaseStats& stats) override {
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,3 +1,6 @@
+// The store in a file: what was synced must survive full disks, torn writes and crashes, and a file that is damaged where it was
+// synced must be refused.
+
 #include <catch2/catch.hpp>
 
 #include <sys/resource.h>
@@ -15,11 +18,11 @@
 
 namespace {
 
-struct Folder {
-  Folder() : path(std::filesystem::temp_directory_path() / ("tamarindshift-store-" + std::to_string(::getpid()))) {
+struct TemporaryFolder {
+  TemporaryFolder() : path(std::filesystem::temp_directory_path() / ("tamarindshift-store-" + std::to_string(::getpid()))) {
     std::filesystem::remove_all(path);
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
   std::string log() const { return (path / "actions.log").string(); }
   std::string bytes() const {
     std::ifstream stream(log(), std::ios::binary);
@@ -33,11 +36,11 @@
   return std::string("\x92", 1) + "record " + std::to_string(number);
 }
 
-struct Opened {
-  explicit Opened(const Folder& folder) : store(clock, folder.path.string()) { records = store.load(); }
-  void add(int number) { addTogether({number}); }
+struct OpenedStore {
+  explicit OpenedStore(const TemporaryFolder& folder) : store(clock, folder.path.string()) { records = store.load(); }
+  void add(int number) { addBatch({number}); }
   /// Appends records that one sync covers.
-  void addTogether(const std::vector<int>& numbers) {
+  void addBatch(const std::vector<int>& numbers) {
     for (int number : numbers) store.append(record(number));
     bool synced = false;
     store.sync([&] {
@@ -52,13 +55,13 @@
   std::optional<std::vector<std::string>> records;
 };
 
-void fill(const Folder& folder, int amount) {
-  Opened opened(folder);
+void fill(const TemporaryFolder& folder, int amount) {
+  OpenedStore opened(folder);
   REQUIRE(opened.records);
   for (int number = 1; number <= amount; ++number) opened.add(number);
 }
 
-/// Files may grow to this many bytes and no further, as on a disk that is full.
+/// While it exists, files can grow to this many bytes only, as on a full disk.
 class FullDisk {
  public:
   explicit FullDisk(std::size_t bytes) {
@@ -79,17 +82,17 @@
 
 }  // namespace
 
-TEST_CASE("a disk that is full refuses without an end of the process, and holds everything in order once it takes it") {
-  for (std::size_t room = 0; room < 112; room += 7) {
-    INFO("room for " << room << " bytes");
-    Folder folder;
+TEST_CASE("a full disk does not end the process, and holds everything in order once it takes writes again") {
+  for (std::size_t freeBytes = 0; freeBytes < 112; freeBytes += 7) {
+    INFO("free space of " << freeBytes << " bytes");
+    TemporaryFolder folder;
     fill(folder, 2);
     int synced = 0;
     {
-      Opened opened(folder);
+      OpenedStore opened(folder);
       REQUIRE(opened.records);
       {
-        FullDisk full(folder.bytes().size() + room);
+        FullDisk full(folder.bytes().size() + freeBytes);
         for (int number = 3; number <= 9; ++number) {
           opened.store.append(record(number));
           opened.store.sync([&] {
@@ -108,31 +111,31 @@
       CHECK_FALSE(opened.store.refusesWrites());
       CHECK(synced == 7);
     }
-    Opened again(folder);
+    OpenedStore again(folder);
     REQUIRE(again.records);
     CHECK(*again.records == std::vector<std::string>{record(1), record(9), record(10)});
   }
 }
 
-TEST_CASE("what a full disk refused is not there after a crash, what was synced before is") {
-  Folder folder;
+TEST_CASE("after a crash, the store holds what was synced and not what a full disk refused") {
+  TemporaryFolder folder;
   fill(folder, 2);
   {
-    Opened opened(folder);
+    OpenedStore opened(folder);
     FullDisk full(folder.bytes().size() + 5);
     opened.store.append(record(3));
     opened.store.sync([] {});
     opened.world.runUntil(opened.world.now() + 300ms);
     CHECK(opened.store.refusesWrites());
   }
-  Opened again(folder);
+  OpenedStore again(folder);
   REQUIRE(again.records);
   CHECK(*again.records == std::vector<std::string>{record(1), record(2)});
 }
 
-TEST_CASE("a store that starts on a full disk waits for room") {
-  Folder folder;
-  std::optional<Opened> opened;
+TEST_CASE("a store that starts on a full disk waits for free space") {
+  TemporaryFolder folder;
+  std::optional<OpenedStore> opened;
   bool synced = false;
   {
     FullDisk full(4);
@@ -148,74 +151,74 @@
   opened->world.runUntil(opened->world.now() + 1s);
   CHECK(synced);
   opened.reset();
-  Opened again(folder);
+  OpenedStore again(folder);
   REQUIRE(again.records);
   CHECK(*again.records == std::vector<std::string>{record(1)});
 }
 
-TEST_CASE("a store gives back what was synced, in order, and goes on behind it") {
-  Folder folder;
+TEST_CASE("a store loads what was synced, in order, and appends after it") {
+  TemporaryFolder folder;
   fill(folder, 3);
   {
-    Opened opened(folder);
+    OpenedStore opened(folder);
     REQUIRE(opened.records);
     REQUIRE(opened.records->size() == 3);
     CHECK(opened.records->back() == record(3));
     opened.store.rewrite({record(7)});
     opened.add(8);
   }
-  Opened again(folder);
+  OpenedStore again(folder);
   REQUIRE(again.records);
   CHECK(*again.records == std::vector<std::string>{record(7), record(8)});
 }
 
-TEST_CASE("a tail torn at any byte is cut at the last good record") {
-  Folder folder;
+TEST_CASE("a file cut off at any byte is truncated to its last complete record") {
+  TemporaryFolder folder;
   fill(folder, 3);
   auto whole = folder.bytes();
   auto two = whole.size() - 8 - record(3).size();
   for (auto size = two; size < whole.size(); ++size) {
     folder.write(whole.substr(0, size));
-    Opened opened(folder);
+    OpenedStore opened(folder);
     REQUIRE(opened.records);
     CHECK(opened.records->size() == 2);
     opened.add(4);
   }
   for (std::size_t size = 0; size < 12; ++size) {
     folder.write(whole.substr(0, size));
-    Opened opened(folder);
+    OpenedStore opened(folder);
     REQUIRE(opened.records);
     CHECK(opened.records->empty());
   }
 }
 
-TEST_CASE("a corrupted tail is cut, a corrupted middle stops the process") {
-  Folder folder;
+TEST_CASE("a corrupted last record is cut off, a corrupted earlier one is refused") {
+  TemporaryFolder folder;
   fill(folder, 3);
   auto whole = folder.bytes();
   auto tail = whole;
   tail.back() ^= 1;
   folder.write(tail);
   {
-    Opened opened(folder);
+    OpenedStore opened(folder);
     REQUIRE(opened.records);
     CHECK(opened.records->size() == 2);
   }
   auto middle = whole;
   middle[12 + 8 + 3] ^= 1;
   folder.write(middle);
-  Opened opened(folder);
+  OpenedStore opened(folder);
   CHECK_FALSE(opened.records);
   CHECK(opened.store.lastReason().find("corrupted at byte 12") != std::string::npos);
 }
 
-TEST_CASE("a loss of power that kept later parts of the last sync and lost earlier ones is cut, and the store goes on") {
-  Folder folder;
+TEST_CASE("after a power loss that kept later parts of the last sync and lost earlier ones, the store cuts them off and continues") {
+  TemporaryFolder folder;
   fill(folder, 2);
   auto synced = folder.bytes().size();
   {
-    Opened opened(folder);
-    opened.addTogether({3, 4, 5, 6});
+    OpenedStore opened(folder);
+    opened.addBatch({3, 4, 5, 6});
   }
   auto whole = folder.bytes();
   const std::size_t lostAtOnce = 11;
@@ -226,29 +229,29 @@
     folder.write(torn);
     std::size_t kept = 0;
     {
-      Opened opened(folder);
+      OpenedStore opened(folder);
       REQUIRE(opened.records);
       kept = opened.records->size();
       CHECK(kept >= 2);
       CHECK(kept < 6);
-      opened.addTogether({7, 8});
+      opened.addBatch({7, 8});
     }
-    Opened again(folder);
+    OpenedStore again(folder);
     REQUIRE(again.records);
     REQUIRE(again.records->size() == kept + 2);
     CHECK(again.records->back() == record(8));
   }
 }
 
-TEST_CASE("what was synced is never cut, wherever in the file it is corrupted") {
-  Folder folder;
+TEST_CASE("synced records are never cut off, wherever in the file they are corrupted") {
+  TemporaryFolder folder;
   {
-    Opened opened(folder);
-    opened.addTogether({1, 2});
+    OpenedStore opened(folder);
+    opened.addBatch({1, 2});
     bool rewritten = GENERATE(false, true);
     CAPTURE(rewritten);
     if (rewritten) opened.store.rewrite({record(1), record(2)});
-    opened.addTogether({3, 4});
+    opened.addBatch({3, 4});
     opened.add(5);
   }
   auto whole = folder.bytes();
@@ -258,67 +261,67 @@
     auto corrupted = whole;
     corrupted[at] ^= 1;
     folder.write(corrupted);
-    CHECK_FALSE(Opened(folder).records);
+    CHECK_FALSE(OpenedStore(folder).records);
   }
 }
 
-TEST_CASE("a store of the former format is read, and kept as strictly as before") {
-  Folder folder;
+TEST_CASE("a store of format 1 is read, with the checks of that format") {
+  TemporaryFolder folder;
   fill(folder, 1);
   auto frame = folder.bytes().substr(12 + 8 + 9);
   auto header = folder.bytes().substr(0, 12);
   header[8] = 1;
   folder.write(header + frame + frame + frame);
   {
-    Opened opened(folder);
+    OpenedStore opened(folder);
     REQUIRE(opened.records);
     CHECK(opened.records->size() == 3);
   }
   auto corrupted = header + frame + frame + frame;
   corrupted[12 + frame.size() + 9] ^= 1;
   folder.write(corrupted);
-  CHECK_FALSE(Opened(folder).records);
+  CHECK_FALSE(OpenedStore(folder).records);
   folder.write(header + frame + frame + frame);
   {
-    Opened opened(folder);
+    OpenedStore opened(folder);
     opened.add(2);
   }
-  Opened again(folder);
+  OpenedStore again(folder);
   REQUIRE(again.records);
   CHECK(again.records->size() == 4);
 }
 
 TEST_CASE("a foreign file, a newer format and a folder in use are refused with a reason") {
-  Folder folder;
+  TemporaryFolder folder;
   fill(folder, 1);
   auto whole = folder.bytes();
   auto newer = whole;
   newer[8] = 9;
   folder.write(newer);
   {
-    Opened opened(folder);
+    OpenedStore opened(folder);
     CHECK_FALSE(opened.records);
     CHECK(opened.store.lastReason().find("format 9") != std::string::npos);
   }
   folder.write("something else altogether");
   {
-    Opened opened(folder);
+    OpenedStore opened(folder);
     CHECK_FALSE(opened.records);
     CHECK(opened.store.lastReason().find("not a tamarindshift store") != std::string::npos);
   }
   folder.write(whole);
-  Opened first(folder);
+  OpenedStore first(folder);
   CHECK(first.records);
-  Opened second(folder);
+  OpenedStore second(folder);
   CHECK_FALSE(second.records);
   CHECK(second.store.lastReason().find("another process") != std::string::npos);
 }
 
-TEST_CASE("a rewrite that stopped before its rename leaves the old records") {
-  Folder folder;
+TEST_CASE("a rewrite that was interrupted before its rename leaves the old records") {
+  TemporaryFolder folder;
   fill(folder, 2);
   std::ofstream(folder.log() + ".new", std::ios::binary) << "half a rewrite";
-  Opened opened(folder);
+  OpenedStore opened(folder);
   REQUIRE(opened.records);
   CHECK(opened.records->size() == 2);
   CHECK_FALSE(std::filesystem::exists(folder.log() + ".new"));
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,6 @@
+// Messages between programs of two versions: additional or missing fields at the end must not make them unreadable, while anything
+// of another shape must be rejected.
+
 #include <catch2/catch.hpp>
 
 #include "group/group_messages.hpp"
@@ -15,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("a program reads messages that have fields more or fewer at their end") {
+TEST_CASE("a program reads messages with additional or missing fields at their end") {
   GroupHeartbeat newer;
   newer.from = Member{ServerId{Address{"127.0.0.1:1"}, Incarnation{3}}, Boot{4}};
   newer.joined = true;
@@ -30,18 +33,18 @@
   CHECK(seenByNewer->highestCounter == 0);
 }
 
-TEST_CASE("a message of another shape is not read") {
+TEST_CASE("a message of another shape is rejected") {
   CHECK_FALSE(unpacked<GroupHeartbeat>(packed(std::string("heartbeat"))));
   CHECK_FALSE(unpacked<GroupHeartbeat>(packed(std::vector<int>{1, 2, 3})));
   CHECK_FALSE(unpacked<GroupHeartbeat>(""));
 }
 
-TEST_CASE("a packed message comes back whole and a torn one does not come back") {
-  GroupMark mark{ViewId{7, Member{ServerId{Address{"127.0.0.1:1"}, Incarnation{3}}, Boot{4}}}, {}, 9};
+TEST_CASE("a packed message is restored, and one that is cut off is rejected") {
+  GroupWatermark mark{ViewId{7, Member{ServerId{Address{"127.0.0.1:1"}, Incarnation{3}}, Boot{4}}}, {}, 9};
   auto bytes = packed(mark);
-  auto back = unpacked<GroupMark>(bytes);
+  auto back = unpacked<GroupWatermark>(bytes);
   REQUIRE(back);
   CHECK(back->view == mark.view);
-  CHECK(back->upto == 9);
-  CHECK_FALSE(unpacked<GroupMark>(bytes.substr(0, bytes.size() - 1)));
+  CHECK(back->sequence == 9);
+  CHECK_FALSE(unpacked<GroupWatermark>(bytes.substr(0, bytes.size() - 1)));
 }
