--- a/src/engine/engine_messages.hpp
+++ b/src/engine/engine_messages.hpp
@@ -12,6 +12,7 @@
 
 namespace tamarindshift {
 
+/// `green`, `red` and `snapshot` carry what other members lack; `endOfTurn` says that the sender has retransmitted all of it.
 enum class EngineMessageType : std::uint8_t { action = 1, state = 2, cpc = 3, green = 4, red = 5, snapshot = 6, endOfTurn = 7 };
 
 /// Envelope of all messages below.
--- a/src/engine/replication_engine.hpp
+++ b/src/engine/replication_engine.hpp
@@ -35,8 +35,8 @@
   std::size_t rewriteThresholdBytes = 4u << 20;
 };
 
-/// The replication algorithm of Amir and Tutu ("From Total Order to Database Replication"): actions are put in one order by the
-/// group layer and become green, for good, only in a primary component, of which there is at most one at any time.
+/// The replication algorithm of Amir and Tutu ("From Total Order to Database Replication"): the group layer puts actions in
+/// order, and they become green, for good, only in a primary component; the primary components form one sequence.
 ///
 /// Colours of an action at a member: red, its place in the order is not known; yellow, see `Yellow`; green, its place is known
 /// and it is applied; white, it is green at all members and can be discarded.
@@ -92,7 +92,7 @@
   std::optional<Instant> primaryConfirmedAt() const;
   /// Whether a green action has removed this server from the group.
   bool removedFromGroup() const { return removedFromGroup_; }
-  /// Opens at each change of the state and of the green order.
+  /// Opens at each change of the state or the green order.
   Gate& changed() { return changed_; }
 
   void regularConfiguration(const Configuration& configuration) override;
@@ -136,6 +136,7 @@
   void shiftToExchangeActions();
   void planRetransmission();
   bool allTurnsDone() const { return turn_ >= turns_.size(); }
+  /// Sends what this member has to retransmit if it is its turn.
   void retransmit();
   void retransmitGreen();
   void retransmitRed();
@@ -144,14 +145,18 @@
   void invalidateVulnerable();
   std::set<ServerId> lostServers() const;
   void finishRetransmission();
+  /// Merges the state messages into the latest primary component, yellow actions and vulnerability that any member knows of.
   void computeKnowledge();
+  /// Whether the members of the configuration may form the next primary component.
   bool isQuorum() const;
+  /// Installs the primary component: yellow actions become green first, then red ones in the order of their ids.
   void install();
   void markRed(const Action& action);
   void markYellow(const Action& action);
   void markGreen(const Action& action);
   void applyMembership(const Action& action);
   void applySnapshot(const EngineSnapshot& snapshot);
+  /// After a restart: handles what was received of the last configuration as if that had just ended.
   void replayAsTransitional();
   void discardWhite();
   /// Bytes of actions that this member created or holds and that are not green yet.
@@ -160,6 +165,7 @@
   void startFromFoundingMembers();
   void replayRecord(const EngineRecord& record);
   void rewriteStoreIfLarge();
+  /// Records from which `recover` restores the current state.
   std::vector<std::string> fullState() const;
   MetaRecord meta() const;
   void completeRequest(const Action& action, std::uint64_t position, std::string reply);
--- a/src/group/sequenced_group.cpp
+++ b/src/group/sequenced_group.cpp
@@ -301,8 +301,8 @@
     send(members_.begin()->server.address, MessageType::groupAcked, GroupWatermark{view_, own_, stableUpTo_});
 }
 
-void SequencedGroup::onAcked(const GroupWatermark& mark) {
-  if (!flushing_ && mark.view == view_ && isSequencer()) recordAck(mark.from, mark.sequence);
+void SequencedGroup::onAcked(const GroupWatermark& watermark) {
+  if (!flushing_ && watermark.view == view_ && isSequencer()) recordAck(watermark.from, watermark.sequence);
 }
 
 void SequencedGroup::recordAck(const Member& member, std::uint64_t sequence) {
@@ -319,8 +319,8 @@
   advanceSafe(ackedByAll);
 }
 
-void SequencedGroup::onSafe(const GroupWatermark& mark) {
-  if (!flushing_ && mark.view == view_ && mark.from == *members_.begin()) advanceSafe(mark.sequence);
+void SequencedGroup::onSafe(const GroupWatermark& watermark) {
+  if (!flushing_ && watermark.view == view_ && watermark.from == *members_.begin()) advanceSafe(watermark.sequence);
 }
 
 void SequencedGroup::advanceSafe(std::uint64_t sequence) {
--- a/src/group/sequenced_group.hpp
+++ b/src/group/sequenced_group.hpp
@@ -89,8 +89,8 @@
   void onRefused(const Address& address);
   void onSubmit(const GroupSubmit& submit);
   void onOrdered(const GroupOrdered& ordered);
-  void onAcked(const GroupWatermark& mark);
-  void onSafe(const GroupWatermark& mark);
+  void onAcked(const GroupWatermark& watermark);
+  void onSafe(const GroupWatermark& watermark);
   void onPrepare(const GroupPrepare& prepare);
   void onFlushed(const GroupFlushed& flushed);
   void onInstall(const GroupInstall& install);
@@ -142,11 +142,13 @@
 
   // sequence numbers of the current view; received, stored here, stored by all members, delivered here
   std::map<std::uint64_t, Delivery> undelivered_;
+  // sequence numbers up to which messages of the current view are received here, stored here, stored by all members, delivered here
   std::uint64_t receivedUpTo_ = 0;
   std::uint64_t stableUpTo_ = 0;
   std::uint64_t safeUpTo_ = 0;
   std::uint64_t deliveredUpTo_ = 0;
 
+  // own messages, in the order in which they were sent
   std::deque<UnorderedMessage> unordered_;
   std::uint64_t lastSubmitted_ = 0;
 
--- a/src/wire/server_id.hpp
+++ b/src/wire/server_id.hpp
@@ -9,7 +9,7 @@
 
 namespace tamarindshift {
 
-/// Number of a server's data folder; a newer folder at the same address has a higher one.
+/// Distinguishes servers that had the same address one after the other; a later one has a higher number.
 using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
 
 /// Identity of a core server with its data: it survives restarts, and a server that starts with an empty disk has another one.
--- a/tests/core_model_test.cpp
+++ b/tests/core_model_test.cpp
@@ -62,7 +62,7 @@
       {"received messages are synced before they are acknowledged", {&Rules::syncBeforeAcknowledgement}},
       {"confirmation before serving", {&Rules::confirmationBeforeServing}},
       {"a member leaves only where the group can spare it", {&Rules::spareBeforeLeave}},
-      {"a digest in the version", {&Rules::digestOfVersion}},
+      {"a digest of the content of a version", {&Rules::digestOfVersion}},
   };
   for (const auto& disabled : cases) DYNAMIC_SECTION(disabled.description) {
       Rules rules;
