--- a/src/control/access_messages.hpp
+++ b/src/control/access_messages.hpp
@@ -14,7 +14,7 @@
   bool working = false;
   std::set<DatabaseName> strained;
   // what work of each order asked of databases since the last report
-  std::map<DatabaseName, OrderedDemand> demands;
+  std::map<DatabaseName, DemandByOrder> demands;
   bool operator==(const ServiceReport&) const = default;
   MSGPACK_DEFINE(followed, epoch, acknowledged, wanted, suspects, working, strained, demands)
 };
--- a/src/control/commit_search.cpp
+++ b/src/control/commit_search.cpp
@@ -2,40 +2,41 @@
 
 #include "control/duties.hpp"
 
-// Who may hold acknowledged commits that the databases in service lack. A database that was not asked, or has not answered,
-// counts as one that holds them.
+// Finds databases that may hold acknowledged commits that the databases in service lack. A database that was not asked or did
+// not answer counts as one that holds them.
 
 namespace tamarindshift {
 
-// asks every database of the service, also those that leave, are silent or are suspected
-Task<Duties::CommitSearch> Duties::searchCommits(ServiceName name, Place needed) {
+// Asks every database of the service, including those that leave, are silent or are suspected.
+Task<Duties::CommitSearch> Duties::searchCommits(ServiceName name, Place required) {
   std::set<DatabaseName> databases;
   for (const auto& [database, own] : state_.databases(name)) databases.insert(database);
-  auto answers = co_await survey(name, databases);
+  auto answers = co_await pollStatus(name, databases);
   CommitSearch search;
   auto found = state_.services().find(name);
   if (found == state_.services().end()) co_return search;
   const auto& service = found->second;
-  if (present(name, service.servedBy)) search.mayReturn = "no database holds all that was acknowledged";
+  if (present(name, service.servedBy)) search.waitReason = "no database holds all that was acknowledged";
   for (const auto& [database, standing] : answers->standings) {
     bool leaves = service.drained.contains(database);
     if (!standing) {
-      if (!search.mayReturn) search.mayReturn = "database " + database.get() + " does not answer and may hold acknowledged commits";
-    } else if (standing->place() >= needed && !leaves) {
+      if (!search.waitReason) search.waitReason = "database " + database.get() + " does not answer and may hold acknowledged commits";
+    } else if (standing->place() >= required && !leaves) {
       if (!search.holder || standing->place() > search.holder->standing.place())
         search.holder = Candidate{database, *standing, std::nullopt};
-    } else if (standing->place() >= needed) {
-      search.mayReturn = "database " + database.get() + " leaves and holds acknowledged commits, its successor is awaited";
+    } else if (standing->place() >= required) {
+      search.waitReason = "database " + database.get() + " leaves and holds acknowledged commits, its successor is awaited";
     }
   }
   auto predecessor = awaitedPredecessor(name);
-  if (predecessor && !search.mayReturn)
-    search.mayReturn = "the successor of database " + predecessor->get() + " may hold acknowledged commits and is awaited";
+  if (predecessor && !search.waitReason)
+    search.waitReason = "the successor of database " + predecessor->get() + " may hold acknowledged commits and is awaited";
   co_return search;
 }
 
-// replicas that leave, are suspected or strained: no candidates, but commits may have been acknowledged by their receipt
-std::vector<DatabaseName> Duties::otherReplicas(const ServiceName& name, const std::vector<DatabaseName>& among) const {
+// Replicas that leave, are suspected or are degraded. They are no candidates, but commits may have been acknowledged because
+// they had received them.
+std::vector<DatabaseName> Duties::nonCandidateReplicas(const ServiceName& name, const std::vector<DatabaseName>& among) const {
   const auto& service = state_.services().at(name);
   std::vector<DatabaseName> others;
   for (const auto& [database, own] : state_.databases(name)) {
@@ -45,23 +46,24 @@
   return others;
 }
 
-// a replica that is no candidate and holds more than the chosen database, or may hold more and was not asked or is silent
-std::optional<DatabaseName> Duties::mayHoldMoreThan(const ServiceName& name, const std::vector<DatabaseName>& among, const Survey& survey,
-                                                    const DatabaseStanding& chosen) {
+// A replica that is no candidate and holds more than the chosen database, or that may hold more and was not asked or did not
+// answer.
+std::optional<DatabaseName> Duties::replicaThatMayHoldMore(const ServiceName& name, const std::vector<DatabaseName>& among,
+                                                           const StatusPoll& poll, const DatabaseStanding& chosen) {
   const auto& drained = state_.services().at(name).drained;
-  for (const auto& database : otherReplicas(name, among)) {
-    auto answer = survey.standings.find(database);
-    if (answer == survey.standings.end()) return database;
+  for (const auto& database : nonCandidateReplicas(name, among)) {
+    auto answer = poll.standings.find(database);
+    if (answer == poll.standings.end()) return database;
     const auto& standing = answer->second;
-    bool mayHoldMore = standing ? standing->place() > chosen.place() : drained.contains(database) || diedWithPrimary(name, database);
+    bool mayHoldMore = standing ? standing->place() > chosen.place() : drained.contains(database) || lostWithPrimary(name, database);
     if (mayHoldMore) return database;
   }
   return awaitedPredecessor(name);
 }
 
-// a database that left and whose successor has not come, and may still come
+// A database that left and whose successor has not enrolled yet but still may.
 std::optional<DatabaseName> Duties::awaitedPredecessor(const ServiceName& name) {
-  auto& since = duties_[name].successorAwaitedSince;
+  auto& since = serviceDuties_[name].successorAwaitedSince;
   const auto& awaited = state_.services().at(name).awaitedSuccessors;
   std::erase_if(since, [&](const auto& each) {
     return std::none_of(awaited.begin(), awaited.end(), [&](const auto& successor) {
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -192,7 +192,7 @@
 
 std::string ControlState::applyDatabase(const DatabaseUpdate& update, bool drained) {
   bool leavesForGood = drained && update.gone && !listed(update.service);
-  if (leavesForGood) departed_.note(update.database, position_);
+  if (leavesForGood) departed_.add(update.database, position_);
   auto service = update.service.get().empty() ? serviceOf(update.database).value_or(update.service) : update.service;
   if (!databases(service).contains(update.database)) return leavesForGood ? "held" : "no such database";
   auto& state = services_.contains(service) ? services_.at(service) : retired_[service];
--- a/src/control/duties.cpp
+++ b/src/control/duties.cpp
@@ -13,18 +13,18 @@
       state_(state),
       access_(access),
       databases_(databases),
-      own_(std::move(own)),
-      members_(clock, journal, engine, losses, timings.memberAway),
+      ownId_(std::move(own)),
+      memberReplacement_(clock, journal, engine, losses, timings.memberAway),
       rationing_(rationing) {
   scope_.spawn(run());
-  scope_.spawn(wakeOnGreen());
+  scope_.spawn(wakeOnEngineChange());
 }
 
 bool Duties::onDuty() const {
-  return engine_.state() == EngineState::regPrim && !engine_.conf().set.empty() && *engine_.conf().set.begin() == own_;
+  return engine_.state() == EngineState::regPrim && !engine_.conf().set.empty() && *engine_.conf().set.begin() == ownId_;
 }
 
-bool Duties::provedOnDuty() const {
+bool Duties::isSoleDutyHolder() const {
   auto proved = engine_.provedAt();
   return onDuty() && proved && clock_.now() - *proved < timings_.group.suspicion;
 }
@@ -33,27 +33,27 @@
   for (;;) {
     co_await sleep(clock_, timings_.dutyPause);
     co_await wake_.wait(clock_, clock_.now() + timings_.duty);
-    noteEpochs();
-    checkConfiguration();
+    recordEpochs();
+    checkPlanVersion();
     if (onDuty() != wasOnDuty_) {
       wasOnDuty_ = onDuty();
-      takenAt_ = clock_.now();
-      duties_.clear();
-      waits_.clear();
-      journal_.line(wasOnDuty_ ? "takes the duties" : "lays the duties down");
+      dutiesTakenAt_ = clock_.now();
+      serviceDuties_.clear();
+      waitReasons_.clear();
+      journal_.line(wasOnDuty_ ? "this member is now on duty" : "this member is no longer on duty");
     }
-    if (wasOnDuty_) pass();
+    if (wasOnDuty_) startPass();
   }
 }
 
-Task<void> Duties::wakeOnGreen() {
+Task<void> Duties::wakeOnEngineChange() {
   for (;;) {
     co_await engine_.changed().wait(clock_);
     wake();
   }
 }
 
-void Duties::noteEpochs() {
+void Duties::recordEpochs() {
   std::erase_if(seenEpochs_, [&](const auto& each) {
     return !state_.services().contains(each.first);
   });
@@ -64,75 +64,75 @@
   }
 }
 
-void Duties::checkConfiguration() {
-  planSame_ = planVersions_.note(state_.plan() ? state_.plan()->mark : PlanMark{});
+void Duties::checkPlanVersion() {
+  planUnchanged_ = planVersionCheck_.observe(state_.plan() ? state_.plan()->mark : PlanMark{});
 }
 
-void Duties::pass() {
+void Duties::startPass() {
   access_.forgetNodesBefore(clock_.now() - 10 * timings_.nodeSilence);
-  members_.review();
-  if (!nodesBusy_) scope_.spawn(nodes());
-  if (!enrolmentsBusy_) scope_.spawn(enrolments());
-  noteLiving();
-  sharesSpent_ = {};
+  memberReplacement_.review();
+  if (!updatingNodes_) scope_.spawn(updateNodes());
+  if (!removingDatabases_) scope_.spawn(removeLostDatabases());
+  recordLiveNodes();
+  sharesTimeSpent_ = {};
   std::vector<ServiceName> names;
   for (const auto& [name, service] : state_.services()) names.push_back(name);
-  if (sharesLeftAt_) std::rotate(names.begin(), std::lower_bound(names.begin(), names.end(), *sharesLeftAt_), names.end());
-  sharesLeftAt_.reset();
+  if (sharesResumeAt_) std::rotate(names.begin(), std::lower_bound(names.begin(), names.end(), *sharesResumeAt_), names.end());
+  sharesResumeAt_.reset();
   for (const auto& name : names) {
     if (!state_.services().contains(name)) continue;
     const auto& service = state_.services().at(name);
-    auto& duty = duties_[name];
+    auto& duty = serviceDuties_[name];
     auto now = clock_.now();
-    if (std::exchange(duty.sharesSeen, service.sharesAt) != service.sharesAt) {
-      duty.sharesSeenAt = now;
+    if (std::exchange(duty.sharesVersionSeen, service.sharesAt) != service.sharesAt) {
+      duty.sharesVersionSeenAt = now;
       checkShares(name, service);
     }
-    if (duty.seenAt == Instant{} || duty.epoch != service.epoch) {
-      if (duty.takenAt == Instant{}) duty.takenAt = now;
+    if (duty.epochSeenAt == Instant{} || duty.epoch != service.epoch) {
+      if (duty.firstSeenAt == Instant{}) duty.firstSeenAt = now;
       duty.epoch = service.epoch;
-      duty.seenAt = now;
+      duty.epochSeenAt = now;
       duty.demotedAt.reset();
-      duty.finalPlace = {};
-      duty.demoteAskedAt = duty.silentSince = duty.probeAfter = duty.promoteAfter = {};
-      duty.promotePause = {};
+      duty.finalPosition = {};
+      duty.demoteRequestedAt = duty.doubtedSince = duty.nextProbeAt = duty.nextPromoteAt = {};
+      duty.promoteBackoff = {};
     }
-    if (!duty.busy) scope_.spawn(care(name));
+    if (!duty.busy) scope_.spawn(supervise(name));
   }
 }
 
-Task<void> Duties::care(ServiceName name) {
-  duties_[name].busy = true;
+Task<void> Duties::supervise(ServiceName name) {
+  serviceDuties_[name].busy = true;
   try {
-    co_await careFor(name);
+    co_await superviseOnce(name);
   } catch (const std::exception& error) {
     journal_.count("duties.failed");
-    journal_.line("the duties of service " + name.get() + " failed and are done again: " + error.what());
+    journal_.line("the duties of service " + name.get() + " failed and will be retried: " + error.what());
   }
-  duties_[name].busy = false;
+  serviceDuties_[name].busy = false;
 }
 
-const AccessTables::Node* Duties::heard(const Address& node) const {
+const AccessTables::Node* Duties::reportOf(const Address& node) const {
   auto found = access_.nodes().find(node);
   return found == access_.nodes().end() ? nullptr : &found->second;
 }
 
 bool Duties::silent(const Address& node) const {
-  const auto* known = heard(node);
-  return !(known && reporting(*known)) && clock_.now() - takenAt_ > timings_.nodeSilence;
+  const auto* known = reportOf(node);
+  return !(known && reportIsRecent(*known)) && clock_.now() - dutiesTakenAt_ > timings_.nodeSilence;
 }
 
-// orders that do not wait for each other, so that they share their syncs
-Task<void> Duties::orderAll(Orders orders) {
-  auto left = std::make_shared<std::size_t>(orders.size());
-  for (auto& [matter, body] : orders) scope_.spawn(orderOne(matter, std::move(body), left));
-  while (*left > 0) co_await ordered_.wait(clock_);
+// The proposals do not wait for each other, so that they share their disk syncs.
+Task<void> Duties::proposeAll(Proposals proposals) {
+  auto outstanding = std::make_shared<std::size_t>(proposals.size());
+  for (auto& [matter, body] : proposals) scope_.spawn(proposeOne(matter, std::move(body), outstanding));
+  while (*outstanding > 0) co_await proposalDone_.wait(clock_);
 }
 
-Task<void> Duties::orderOne(ControlMatter matter, std::string body, std::shared_ptr<std::size_t> left) {
-  co_await order(matter, std::move(body));
-  --*left;
-  ordered_.open();
+Task<void> Duties::proposeOne(ControlMatter matter, std::string body, std::shared_ptr<std::size_t> outstanding) {
+  co_await propose(matter, std::move(body));
+  --*outstanding;
+  proposalDone_.open();
 }
 
 }  // namespace tamarindshift
--- a/src/control/duties.hpp
+++ b/src/control/duties.hpp
@@ -9,174 +9,209 @@
 #include "control/member_replacement.hpp"
 #include "control/plan_version_check.hpp"
 #include "control/promotion_proof.hpp"
-#include "control/ration_cut.hpp"
+#include "control/ration_allocation.hpp"
 #include "engine/replication_engine.hpp"
 
 namespace tamarindshift {
 
+/// The work of the one replica that leads the control plane: it chooses and promotes the primary of each service, divides
+/// connections among the nodes (shares), limits work of later orders at crowded databases (rations), and enrols and
+/// removes nodes and databases.
+///
+/// Every replica runs a `Duties`, but only the one on duty acts. What it decides takes effect as an action that is proposed
+/// to the replication engine; calls to databases and to the platform are made only while no other member can be on duty.
 class Duties {
  public:
+  /// `losses`: machines that may be lost at once, 0 keeps absent members in the group. `rationing`: whether rations are used.
   Duties(Clock& clock, Journal& journal, const Timings& timings, ReplicationEngine& engine, const ControlState& state, AccessTables& access,
          DatabaseControl& databases, ServerId own, std::size_t losses, bool rationing);
 
+  /// Whether this member holds the duties: it is the first member of the present configuration, which is a primary component.
   bool onDuty() const;
-  /// Whether no other member can hold the duties by now, so that a database or the platform may be told to act.
+  /// Whether no other member can hold the duties by now, so that a call to a database or to the platform may change something.
   /// The others form a view without this member only once they have not heard from it for the suspicion time.
-  bool provedOnDuty() const;
-  // something came that a duty may wait for
+  bool isSoleDutyHolder() const;
+  /// Starts the next pass early. To be called when something arrived that a duty may wait for.
   void wake() { wake_.open(); }
-  const std::map<ServiceName, std::string>& waits() const { return waits_; }
-  // nodes whose report that they follow the last move of shares is missing
-  std::vector<Address> awaited(const ServiceName& name) const;
-  // nodes that have no share of a service, with the reason
-  std::map<Address, std::string> shareless(const ServiceName& name) const;
-  // why a database gets no work, or less than it could
-  std::vector<std::string> unused(const ServiceName& name, const DatabaseName& database) const;
+  /// What the recovery of each service waits for; a service that waits for nothing is absent.
+  const std::map<ServiceName, std::string>& waitReasons() const { return waitReasons_; }
+  /// Nodes that have not reported yet that they apply the last change of shares of a service.
+  std::vector<Address> nodesBehindOnShares(const ServiceName& name) const;
+  /// Nodes that have no share of a service, each with the reason.
+  std::map<Address, std::string> nodesWithoutShare(const ServiceName& name) const;
+  /// Why a database gets no work, or less than it could; empty if nothing holds.
+  std::vector<std::string> unusedReasons(const ServiceName& name, const DatabaseName& database) const;
 
  private:
+  /// Everything from which shares are computed, as counters that change with it.
   struct SharesInputs {
-    std::uint64_t told = 0;
-    std::uint64_t living = 0;
+    std::uint64_t reportRevision = 0;
+    std::uint64_t liveNodesRevision = 0;
     std::uint64_t sharesAt = 0;
-    PlanMark mark;
+    PlanMark planMark;
     bool operator==(const SharesInputs&) const = default;
   };
+  /// What this member knows of a service since it took the duties.
   struct ServiceDuty {
     Epoch epoch;
-    Instant seenAt{};
-    Instant takenAt{};
+    Instant epochSeenAt{};
+    Instant firstSeenAt{};
+    /// When the former primary first answered a demote call as a replica.
     std::optional<Instant> demotedAt;
-    Place finalPlace;
-    Instant demoteAskedAt{};
-    Instant sharesMovedAt{};
-    Instant sharesAfter{};
-    std::size_t sharesFor = 0;
-    // the last move of shares that was seen here, and since when
-    std::uint64_t sharesSeen = 0;
-    Instant sharesSeenAt{};
-    // what the shares were last cut from, if they were found to be as they should
-    std::optional<SharesInputs> sharesFit;
-    std::map<Address, std::pair<std::uint64_t, Instant>> reservedSeenAt;
-    Instant silentSince{};
-    std::optional<Instant> strainedSince;
-    std::optional<Instant> relievedAt;
-    Instant probeAfter{};
-    Instant promoteAfter{};
-    Duration promotePause{};
+    /// The highest position that the former primary answered as a replica.
+    Place finalPosition;
+    Instant demoteRequestedAt{};
+    Instant sharesChangedAt{};
+    /// Shares are not computed again before this, unless the number of nodes differs from `sharesNodeCount`.
+    Instant nextSharesAt{};
+    std::size_t sharesNodeCount = 0;
+    /// The last change of shares that was seen here, and when it was first seen.
+    std::uint64_t sharesVersionSeen = 0;
+    Instant sharesVersionSeenAt{};
+    /// The inputs of the last computation of shares, if it found nothing to change.
+    std::optional<SharesInputs> unchangedForInputs;
+    /// For each node with reserved connections the reservation and since when the node has been silent under it.
+    std::map<Address, std::pair<std::uint64_t, Instant>> reservationsSeen;
+    /// Since when the primary has been silent, suspected or without the role of a primary.
+    Instant doubtedSince{};
+    std::optional<Instant> degradedSince;
+    /// When a degraded primary was last replaced.
+    std::optional<Instant> degradedRecoveryAt;
+    Instant nextProbeAt{};
+    Instant nextPromoteAt{};
+    Duration promoteBackoff{};
+    /// The newest term or epoch that any database of the service answered.
     Epoch highestTerm;
     Instant rationsReviewedAt{};
-    /// Since when the successors of databases that left are awaited here.
+    /// Since when this member has awaited the successor of each database that left.
     std::map<DatabaseName, Instant> successorAwaitedSince;
+    /// Whether a coroutine works on this service.
     bool busy = false;
   };
-  // when this member first saw a service's epoch and then its promotion, on duty or not
+  /// When this member first saw a service's epoch and then its promotion, on duty or not.
   struct SeenEpoch {
     Epoch epoch;
     Instant at{};
     std::optional<Instant> promotedAt;
   };
+  /// A database that can become primary.
   struct Candidate {
     DatabaseName database;
     DatabaseStanding standing;
-    std::optional<DatabaseName> mayHoldMore;
+    /// Another candidate that did not answer and was lost at about the same time as the primary, so that it may hold more.
+    std::optional<DatabaseName> unansweredReplica;
   };
 
-  /// Where acknowledged commits were looked for: a database in service that holds them, or why they may still come back.
+  /// The result of a search for acknowledged commits: a database in service that holds them, or why they may still come back.
   struct CommitSearch {
     std::optional<Candidate> holder;
-    std::optional<std::string> mayReturn;
+    std::optional<std::string> waitReason;
   };
 
-  // a part of a branch that is small enough to stay unused for a while
-  static constexpr std::uint64_t fewOfABranch = 20;
+  /// Connections up to this part of a branch (1/20) may stay unused for a while.
+  static constexpr std::uint64_t minorShareDivisor = 20;
 
   Task<void> run();
-  Task<void> wakeOnGreen();
-  void noteEpochs();
-  /// What nodes hold of each branch, as it lies in the log, against the branch.
+  Task<void> wakeOnEngineChange();
+  void recordEpochs();
+  /// Checks what nodes hold of each branch, by the replicated state, against the connections of the branch.
   void checkShares(const ServiceName& name, const ServiceState& service);
-  void checkConfiguration();
-  void pass();
-  Task<void> care(ServiceName name);
-  Task<void> careFor(ServiceName name);
-  struct Survey {
+  void checkPlanVersion();
+  /// Starts the work on nodes, on databases and on each service that is not under way.
+  void startPass();
+  /// Runs `superviseOnce` and logs an exception instead of passing it on.
+  Task<void> supervise(ServiceName name);
+  Task<void> superviseOnce(ServiceName name);
+  /// STATUS of several databases, asked at the same time; nothing stands for a database that did not answer.
+  struct StatusPoll {
     std::map<DatabaseName, std::optional<DatabaseStanding>> standings;
-    std::size_t missing = 0;
+    std::size_t outstanding = 0;
     Gate done;
   };
-  Task<void> watch(ServiceName name);
-  Task<void> firstPrimary(ServiceName name);
+  /// Recovers to another database if the primary is silent, suspected by nodes or no primary any more.
+  Task<void> monitorPrimary(ServiceName name);
+  Task<void> chooseFirstPrimary(ServiceName name);
+  /// Chooses a database and proposes a new epoch with it as the primary; `promote` then makes it one.
   Task<void> recover(ServiceName name, std::string reason);
+  /// Takes the next step towards the promotion of the chosen database.
   Task<void> promote(ServiceName name);
-  Task<bool> holdsNeeded(ServiceName name, ServiceState service);
-  std::optional<std::string> mayLackReports(const ServiceName& name, const ServiceState& service) const;
-  Task<void> chooseBetter(ServiceName name);
-  Task<bool> givesUp(ServiceName name, ServiceState service, Place needed);
-  bool mayHaveBeenCalled(const ServiceName& name) const;
-  Task<std::optional<Epoch>> leadsAlready(ServiceName name, ServiceState service);
+  Task<bool> holdsRequiredCommits(ServiceName name, ServiceState service);
+  std::optional<std::string> missingReportsReason(const ServiceName& name, const ServiceState& service) const;
+  Task<void> replaceChosen(ServiceName name);
+  Task<bool> mayAbandonCommits(ServiceName name, ServiceState service, Place required);
+  bool formerHolderMayHavePromoted(const ServiceName& name) const;
+  Task<std::optional<Epoch>> alreadyPromotedTerm(ServiceName name, ServiceState service);
   PromotionProof promotionProof(const ServiceName& name, const ServiceState& service) const;
-  Task<void> confirm(ServiceName name, ServiceState service, Epoch term);
-  Task<void> callPromotion(ServiceName name, ServiceState service);
-  Task<std::optional<Epoch>> leads(ServiceName name, ServiceState service, Instant calledAt);
-  Task<std::optional<DatabaseStanding>> reached(ServiceName name, ServiceState service, Place needed,
-                                                std::optional<DatabaseStanding> standing);
+  Task<void> confirmPromotion(ServiceName name, ServiceState service, Epoch term);
+  Task<void> requestPromotion(ServiceName name, ServiceState service);
+  Task<std::optional<Epoch>> awaitPromotedTerm(ServiceName name, ServiceState service, Instant calledAt);
+  Task<std::optional<DatabaseStanding>> awaitRequiredPosition(ServiceName name, ServiceState service, Place required,
+                                                              std::optional<DatabaseStanding> standing);
   Task<void> demote(ServiceName name, DatabaseName former);
-  Task<void> demoteStray(ServiceName name);
-  Task<std::optional<DatabaseStanding>> status(ServiceName name, DatabaseName database, Duration patience);
-  Task<void> ask(ServiceName name, DatabaseName database, std::shared_ptr<Survey> survey);
-  std::vector<DatabaseName> candidates(const ServiceName& name, const std::optional<DatabaseName>& besides) const;
-  Task<std::shared_ptr<Survey>> survey(ServiceName name, std::set<DatabaseName> databases);
-  std::optional<Candidate> best(const ServiceName& name, const std::vector<DatabaseName>& among, const Survey& survey);
-  Task<CommitSearch> searchCommits(ServiceName name, Place needed);
-  std::vector<DatabaseName> otherReplicas(const ServiceName& name, const std::vector<DatabaseName>& among) const;
-  std::optional<DatabaseName> mayHoldMoreThan(const ServiceName& name, const std::vector<DatabaseName>& among, const Survey& survey,
-                                              const DatabaseStanding& chosen);
+  Task<void> demoteStrayPrimaries(ServiceName name);
+  Task<std::optional<DatabaseStanding>> queryStatus(ServiceName name, DatabaseName database, Duration timeout);
+  Task<void> pollDatabase(ServiceName name, DatabaseName database, std::shared_ptr<StatusPoll> poll);
+  std::vector<DatabaseName> candidates(const ServiceName& name, const std::optional<DatabaseName>& excluded) const;
+  Task<std::shared_ptr<StatusPoll>> pollStatus(ServiceName name, std::set<DatabaseName> databases);
+  std::optional<Candidate> bestCandidate(const ServiceName& name, const std::vector<DatabaseName>& among, const StatusPoll& poll);
+  Task<CommitSearch> searchCommits(ServiceName name, Place required);
+  std::vector<DatabaseName> nonCandidateReplicas(const ServiceName& name, const std::vector<DatabaseName>& among) const;
+  std::optional<DatabaseName> replicaThatMayHoldMore(const ServiceName& name, const std::vector<DatabaseName>& among,
+                                                     const StatusPoll& poll, const DatabaseStanding& chosen);
   std::optional<DatabaseName> awaitedPredecessor(const ServiceName& name);
-  Task<std::optional<Candidate>> candidate(ServiceName name, std::optional<DatabaseName> besides);
-  using Orders = std::vector<std::pair<ControlMatter, std::string>>;
-  Task<bool> order(ControlMatter matter, std::string body);
-  Task<void> orderAll(Orders orders);
-  Task<void> orderOne(ControlMatter matter, std::string body, std::shared_ptr<std::size_t> left);
-  Task<void> shares(ServiceName name);
-  Task<void> rations(ServiceName name);
-  std::map<DatabaseName, NodeDemands> demands(const ServiceName& name) const;
+  Task<std::optional<Candidate>> findCandidate(ServiceName name, std::optional<DatabaseName> excluded);
+  using Proposals = std::vector<std::pair<ControlMatter, std::string>>;
+  /// Proposes an update to the replication engine; whether it was applied.
+  Task<bool> propose(ControlMatter matter, std::string body);
+  Task<void> proposeAll(Proposals proposals);
+  Task<void> proposeOne(ControlMatter matter, std::string body, std::shared_ptr<std::size_t> outstanding);
+  Task<void> updateShares(ServiceName name);
+  Task<void> updateRations(ServiceName name);
+  std::map<DatabaseName, DemandsByNode> collectDemands(const ServiceName& name) const;
   SharesInputs sharesInputs(const ServiceName& name, const ServiceState& service) const;
-  bool canWait(const ServiceName& name, const ServiceState& service, const Grants& target) const;
-  void noteLiving();
-  Task<void> nodes();
-  Task<void> enrolments();
-  Task<void> departures(ServiceName name);
-  Task<void> returns(ServiceName name);
-  std::optional<std::string> unproved(const ServiceName& name) const;
-  bool diedWithPrimary(const ServiceName& name, const DatabaseName& database) const;
-  const AccessTables::Node* heard(const Address& node) const;
-  bool reporting(const AccessTables::Node& node) const { return clock_.now() - node.heardAt <= timings_.nodeSilence; }
+  bool canPostponeMove(const ServiceName& name, const ServiceState& service, const Grants& target) const;
+  void recordLiveNodes();
+  Task<void> updateNodes();
+  Task<void> removeLostDatabases();
+  Task<void> drainLeavingDatabases(ServiceName name);
+  Task<void> readmitReturnedDatabases(ServiceName name);
+  std::optional<std::string> unreportedNodeReason(const ServiceName& name) const;
+  bool lostWithPrimary(const ServiceName& name, const DatabaseName& database) const;
+  const AccessTables::Node* reportOf(const Address& node) const;
+  bool reportIsRecent(const AccessTables::Node& node) const { return clock_.now() - node.heardAt <= timings_.nodeSilence; }
+  /// Whether the node has sent no report for `nodeSilence`, counted from when this member took the duties at the earliest.
   bool silent(const Address& node) const;
-  std::uint64_t followed(const ServiceName& name, const Address& node) const;
-  bool newcomersWaitedFor(const ServiceName& name) const;
-  bool follows(const ServiceName& name, const ServiceState& service, const Address& node) const;
-  bool everyNodeFollows(const ServiceName& name, const ServiceState& service) const;
-  bool leftOldEpochs(const ServiceName& name, const ServiceState& service, const Address& node) const;
-  // a node that may still have work under an older epoch
-  std::optional<Address> leftBehind(const ServiceName& name, const ServiceState& service) const;
-  bool leasesOver(const ServiceName& name) const;
+  std::uint64_t followedPosition(const ServiceName& name, const Address& node) const;
+  /// Whether nodes that hold nothing have had `nodeSilence` to follow the last change of shares.
+  bool newcomerWaitOver(const ServiceName& name) const;
+  /// Whether a node has reported that it applies the last change of shares, or need not be waited for.
+  bool followsShares(const ServiceName& name, const ServiceState& service, const Address& node) const;
+  bool everyNodeFollowsShares(const ServiceName& name, const ServiceState& service) const;
+  bool hasLeftOldEpochs(const ServiceName& name, const ServiceState& service, const Address& node) const;
+  /// A node that may still have work under an older epoch.
+  std::optional<Address> nodeInOldEpoch(const ServiceName& name, const ServiceState& service) const;
+  /// Whether every lease under an older epoch has expired.
+  bool oldLeasesExpired(const ServiceName& name) const;
   const SeenEpoch* seenEpoch(const ServiceName& name) const;
-  bool everyNodeHeard() const;
+  bool everyNodeReported() const;
   bool suspected(const ServiceName& name, const DatabaseName& database) const;
-  bool strained(const ServiceName& name, const DatabaseName& database) const;
-  bool mostSay(const ServiceName& name, const DatabaseName& database, std::set<DatabaseName> ServiceReport::*told) const;
-  bool hasBetter(const ServiceName& name) const;
-  Task<void> relieve(ServiceName name);
-  bool fresh(const AccessTables::Database& sign) const { return clock_.now() - sign.heardAt <= timings_.silence(); }
-  bool saysPrimary(const ServiceName& name, const DatabaseName& database) const;
+  bool degraded(const ServiceName& name, const DatabaseName& database) const;
+  /// Whether at least half of the nodes with work at the service, and at least one, name the database in this set.
+  bool halfOfNodesReport(const ServiceName& name, const DatabaseName& database, std::set<DatabaseName> ServiceReport::*reported) const;
+  bool hasHealthyReplica(const ServiceName& name) const;
+  Task<void> replaceDegradedPrimary(ServiceName name);
+  bool heartbeatIsRecent(const AccessTables::Database& contact) const { return clock_.now() - contact.heardAt <= timings_.silence(); }
+  bool reportsPrimary(const ServiceName& name, const DatabaseName& database) const;
   bool discovered(const ServiceName& name) const;
   bool keepsAcknowledged(const ServiceName& name) const;
-  bool pending(const ServiceName& name, Epoch epoch) const;
-  void noteTerm(const ServiceName& name, Epoch term);
-  Place needed(const ServiceName& name, const ServiceState& service) const;
-  bool overdue(const ServiceName& name, const Address& node) const;
-  Grants reserve(const ServiceName& name, const ServiceState& service);
-  void wait(const ServiceName& name, const std::string& reason);
+  bool promotionPending(const ServiceName& name, Epoch epoch) const;
+  void recordTerm(const ServiceName& name, Epoch term);
+  /// The position that the chosen database must have reached before it is promoted.
+  Place requiredPosition(const ServiceName& name, const ServiceState& service) const;
+  bool reservationExpired(const ServiceName& name, const Address& node) const;
+  /// Connections that silent or leaving nodes may still use and that no other node may get yet.
+  Grants reservedShares(const ServiceName& name, const ServiceState& service);
+  void setWaitReason(const ServiceName& name, const std::string& reason);
   std::optional<DatabaseTarget> target(const ServiceName& service, const DatabaseName& database) const;
   bool present(const ServiceName& service, const DatabaseName& database) const { return target(service, database).has_value(); }
 
@@ -187,26 +222,26 @@
   const ControlState& state_;
   AccessTables& access_;
   DatabaseControl& databases_;
-  ServerId own_;
-  MemberReplacement members_;
+  ServerId ownId_;
+  MemberReplacement memberReplacement_;
   bool rationing_;
   std::map<ServiceName, SeenEpoch> seenEpochs_;
-  std::map<ServiceName, ServiceDuty> duties_;
-  std::map<ServiceName, std::string> waits_;
-  std::vector<std::pair<Address, std::uint64_t>> living_;
-  std::uint64_t livingChanges_ = 0;
-  // time that this pass spent on cutting shares, and where it stopped for it
-  Duration sharesSpent_{};
-  std::optional<ServiceName> sharesLeftAt_;
-  bool nodesBusy_ = false;
-  bool enrolmentsBusy_ = false;
+  std::map<ServiceName, ServiceDuty> serviceDuties_;
+  std::map<ServiceName, std::string> waitReasons_;
+  std::vector<std::pair<Address, std::uint64_t>> liveNodes_;
+  std::uint64_t liveNodesRevision_ = 0;
+  // time that this pass spent on computing shares, and the service at which it ran out of it; the next pass starts there
+  Duration sharesTimeSpent_{};
+  std::optional<ServiceName> sharesResumeAt_;
+  bool updatingNodes_ = false;
+  bool removingDatabases_ = false;
   bool wasOnDuty_ = false;
-  PlanVersionCheck planVersions_{journal_};
-  bool planSame_ = false;
-  DutyEpochCheck dutyEpochs_{journal_};
+  PlanVersionCheck planVersionCheck_{journal_};
+  bool planUnchanged_ = false;
+  DutyEpochCheck dutyEpochCheck_{journal_};
   Gate wake_;
-  Gate ordered_;
-  Instant takenAt_{};
+  Gate proposalDone_;
+  Instant dutiesTakenAt_{};
   TaskScope scope_;
 };
 
--- a/src/control/duty_epoch_check.hpp
+++ b/src/control/duty_epoch_check.hpp
@@ -7,23 +7,23 @@
 
 namespace tamarindshift {
 
-/// Remembers the fences that calls to the platform carried and checks that they never fall.
+/// Checks that the fence numbers of calls to the platform never decrease and that only the member on duty calls.
 class DutyEpochCheck {
  public:
   explicit DutyEpochCheck(Journal& journal) : journal_(journal) {}
 
-  /// A call with `fence` goes out now; `onDuty` says whether this node still holds the duties.
-  void note(std::uint64_t fence, bool onDuty) {
-    journal_.check(Invariant::dutyEpochNeverFalls, onDuty && fence >= used_, [&] {
-      return "the platform is called with " + std::to_string(fence) + " after " + std::to_string(used_) +
-             (onDuty ? "" : " by a node that holds no duties");
+  /// To be called right before a call with `fence` is sent; `onDuty` says whether this member still holds the duties.
+  void observe(std::uint64_t fence, bool onDuty) {
+    journal_.check(Invariant::dutyEpochNeverFalls, onDuty && fence >= highestUsed_, [&] {
+      return "call to the platform with fence number " + std::to_string(fence) + " after fence number " + std::to_string(highestUsed_) +
+             (onDuty ? "" : " by a member that is not on duty");
     });
-    used_ = std::max(used_, fence);
+    highestUsed_ = std::max(highestUsed_, fence);
   }
 
  private:
   Journal& journal_;
-  std::uint64_t used_ = 0;
+  std::uint64_t highestUsed_ = 0;
 };
 
 }  // namespace tamarindshift
--- a/src/control/member_replacement.cpp
+++ b/src/control/member_replacement.cpp
@@ -4,7 +4,7 @@
 
 namespace tamarindshift {
 
-std::size_t MemberReplacement::presentWithout(const ReplicationEngine& engine, const ServerId& member) {
+std::size_t MemberReplacement::countPresentWithout(const ReplicationEngine& engine, const ServerId& member) {
   if (engine.state() != EngineState::regPrim) return 0;
   const auto& present = engine.conf().set;
   return static_cast<std::size_t>(std::count_if(present.begin(), present.end(), [&](const auto& server) {
@@ -12,30 +12,30 @@
   }));
 }
 
-bool MemberReplacement::spare(const ReplicationEngine& engine, const ServerId& member, std::size_t losses) {
-  return losses > 0 && engine.knows(member) && presentWithout(engine, member) >= 2 * losses + 1;
+bool MemberReplacement::canSpare(const ReplicationEngine& engine, const ServerId& member, std::size_t losses) {
+  return losses > 0 && engine.knows(member) && countPresentWithout(engine, member) >= 2 * losses + 1;
 }
 
 bool MemberReplacement::othersHoldAll(const ReplicationEngine& engine, const ServerId& member, std::size_t losses) {
-  return engine.state() == EngineState::regPrim && presentWithout(engine, member) >= losses + 1;
+  return engine.state() == EngineState::regPrim && countPresentWithout(engine, member) >= losses + 1;
 }
 
 void MemberReplacement::review() {
   const auto& present = engine_.conf().set;
   auto members = engine_.members();
-  std::erase_if(awaySince_, [&](const auto& each) {
+  std::erase_if(absentSince_, [&](const auto& each) {
     return present.contains(each.first) || !members.contains(each.first);
   });
   for (const auto& server : members) {
     if (present.contains(server)) continue;
-    if (!spare(engine_, server, losses_)) {
-      awaySince_.erase(server);
+    if (!canSpare(engine_, server, losses_)) {
+      absentSince_.erase(server);
       continue;
     }
-    auto [away, fresh] = awaySince_.try_emplace(server, clock_.now());
-    if (fresh || clock_.now() - away->second < away_) continue;
-    away->second = clock_.now();
-    journal_.line("member " + text(server) + " was replaced and is let go");
+    auto [entry, inserted] = absentSince_.try_emplace(server, clock_.now());
+    if (inserted || clock_.now() - entry->second < absenceTimeout_) continue;
+    entry->second = clock_.now();
+    journal_.line("member " + text(server) + ": absent and replaced, its removal from the group is requested");
     engine_.requestLeave(server);
   }
 }
--- a/src/control/membership_duties.cpp
+++ b/src/control/membership_duties.cpp
@@ -2,26 +2,26 @@
 
 #include "control/duties.hpp"
 
-// Which nodes and databases there are: those that come, leave or are let go.
+// Enrols nodes, drains databases that leave, and removes nodes and databases that have disconnected.
 
 namespace tamarindshift {
 
-Task<void> Duties::nodes() {
-  nodesBusy_ = true;
+Task<void> Duties::updateNodes() {
+  updatingNodes_ = true;
   std::vector<NodeReport> reports;
-  Orders orders;
+  Proposals proposals;
   for (const auto& [address, node] : access_.nodes())
-    if (reporting(node)) reports.push_back(node.report);
+    if (reportIsRecent(node)) reports.push_back(node.report);
   for (const auto& report : reports) {
     auto known = state_.nodes().find(report.node);
     NodeUpdate update{report.node, report.zone, report.boot};
     bool same = known != state_.nodes().end() && known->second.boot == report.boot && known->second.zone == report.zone;
     if (!same && !report.draining)
-      orders.emplace_back(ControlMatter::enrolNode, packed(update));
+      proposals.emplace_back(ControlMatter::enrolNode, packed(update));
     else if (same && report.draining && !known->second.draining)
-      orders.emplace_back(ControlMatter::drainNode, packed(update));
+      proposals.emplace_back(ControlMatter::drainNode, packed(update));
   }
-  co_await orderAll(std::move(orders));
+  co_await proposeAll(std::move(proposals));
   std::vector<NodeUpdate> gone;
   for (const auto& [address, node] : state_.nodes()) {
     bool holds = std::any_of(state_.services().begin(), state_.services().end(), [&](const auto& each) {
@@ -30,14 +30,14 @@
     if (!holds && silent(address)) gone.push_back(NodeUpdate{address, node.zone, node.boot});
   }
   for (const auto& update : gone) {
-    journal_.line("node " + update.node.get() + " is let go");
-    co_await order(ControlMatter::removeNode, packed(update));
+    journal_.line("node " + update.node.get() + ": silent and without shares, removed");
+    co_await propose(ControlMatter::removeNode, packed(update));
   }
-  nodesBusy_ = false;
+  updatingNodes_ = false;
 }
 
-Task<void> Duties::enrolments() {
-  enrolmentsBusy_ = true;
+Task<void> Duties::removeLostDatabases() {
+  removingDatabases_ = true;
   std::vector<DatabaseUpdate> gone;
   for (const auto& [service, databases] : state_.enrolled())
     for (const auto& [database, own] : databases) {
@@ -45,45 +45,45 @@
       if (served != state_.services().end() &&
           (served->second.primary == database || (!served->second.promoted && served->second.servedBy == database)))
         continue;
-      const auto* sign = access_.database(service, database);
+      const auto* contact = access_.database(service, database);
       const auto* drained = state_.drained(service, database);
-      bool silent = clock_.now() - std::max(sign ? sign->heardAt : Instant{}, takenAt_) > timings_.databaseGone;
+      bool silent = clock_.now() - std::max(contact ? contact->heardAt : Instant{}, dutiesTakenAt_) > timings_.databaseGone;
       if (silent || (drained && drained->gone)) gone.push_back(DatabaseUpdate{service, database, 0, 0, true});
     }
   for (const auto& update : gone) {
-    journal_.line("database " + update.database.get() + " of " + update.service.get() + " is removed");
-    co_await order(ControlMatter::removeDatabase, packed(update));
+    journal_.line("database " + update.database.get() + " of service " + update.service.get() + ": detached or silent, removed");
+    co_await propose(ControlMatter::removeDatabase, packed(update));
   }
-  enrolmentsBusy_ = false;
+  removingDatabases_ = false;
 }
 
-Task<void> Duties::departures(ServiceName name) {
+Task<void> Duties::drainLeavingDatabases(ServiceName name) {
   std::vector<DatabaseUpdate> leaving;
   for (const auto& [database, own] : state_.databases(name)) {
-    const auto* sign = access_.database(name, database);
-    if (!sign || !sign->heartbeat.leaving || !fresh(*sign)) continue;
+    const auto* contact = access_.database(name, database);
+    if (!contact || !contact->heartbeat.leaving || !heartbeatIsRecent(*contact)) continue;
     if (!state_.services().at(name).drained.contains(database))
-      leaving.push_back({name, database, sign->heartbeat.boot, sign->heartbeat.number, false});
+      leaving.push_back({name, database, contact->heartbeat.boot, contact->heartbeat.number, false});
   }
   for (const auto& update : leaving) {
-    journal_.line("database " + update.database.get() + " leaves, its heartbeats say");
-    co_await order(ControlMatter::drainDatabase, packed(update));
+    journal_.line("database " + update.database.get() + " of service " + name.get() + ": its heartbeat says that it leaves, drained");
+    co_await propose(ControlMatter::drainDatabase, packed(update));
   }
 }
 
-Task<void> Duties::returns(ServiceName name) {
-  // one that is found by its heartbeats leaves for good; the next one at its address has another name
+Task<void> Duties::readmitReturnedDatabases(ServiceName name) {
+  // a discovered database leaves for good; the next database at its address has another name
   if (!state_.services().contains(name) || discovered(name)) co_return;
   std::vector<DatabaseName> returned;
   for (const auto& [database, mark] : state_.services().at(name).drained) {
-    const auto* sign = access_.database(name, database);
-    if (!sign || sign->heartbeat.leaving || !fresh(*sign)) continue;
-    if (sign->heartbeat.boot != mark.boot || sign->heartbeat.number > mark.number) returned.push_back(database);
+    const auto* contact = access_.database(name, database);
+    if (!contact || contact->heartbeat.leaving || !heartbeatIsRecent(*contact)) continue;
+    if (contact->heartbeat.boot != mark.boot || contact->heartbeat.number > mark.number) returned.push_back(database);
   }
   for (const auto& database : returned) {
-    journal_.line("database " + database.get() + " is back");
+    journal_.line("database " + database.get() + " of service " + name.get() + ": back in service");
     DatabaseUpdate update{name, database, 0, 0, false};
-    co_await order(ControlMatter::returnDatabase, packed(update));
+    co_await propose(ControlMatter::returnDatabase, packed(update));
   }
 }
 
--- a/src/control/plan_version_check.hpp
+++ b/src/control/plan_version_check.hpp
@@ -5,24 +5,24 @@
 
 namespace tamarindshift {
 
-/// Remembers the configuration version that was looked at last and checks that it never goes back.
+/// Checks that the configuration version that a process holds never decreases.
 class PlanVersionCheck {
  public:
   explicit PlanVersionCheck(Journal& journal) : journal_(journal) {}
 
-  /// Looks at the version held now and returns whether it is the same as at the last look.
-  bool note(PlanMark version) {
-    journal_.check(Invariant::planNeverGoesBack, version >= seen_, [&] {
-      return "version " + std::to_string(version.get()) + " is held after " + std::to_string(seen_.get());
+  /// Checks the version that is held now and returns whether it is the same as at the last call.
+  bool observe(PlanMark version) {
+    journal_.check(Invariant::planNeverGoesBack, version >= last_, [&] {
+      return "configuration version " + std::to_string(version.get()) + " follows version " + std::to_string(last_.get());
     });
-    bool same = version == seen_;
-    seen_ = version;
+    bool same = version == last_;
+    last_ = version;
     return same;
   }
 
  private:
   Journal& journal_;
-  PlanMark seen_;
+  PlanMark last_;
 };
 
 }  // namespace tamarindshift
--- a/src/control/promotion_duties.cpp
+++ b/src/control/promotion_duties.cpp
@@ -2,18 +2,18 @@
 
 #include "control/duties.hpp"
 
-// How a service without a primary gets one: recovery, survey, promotion.
+// How a service without a primary gets one: choice of a database, proof that it holds what was acknowledged, promotion.
 
 namespace tamarindshift {
 
-Task<void> Duties::firstPrimary(ServiceName name) {
+Task<void> Duties::chooseFirstPrimary(ServiceName name) {
   if (!discovered(name)) co_return co_await recover(name, "first primary");
   std::optional<DatabaseName> chosen;
   Instant heardAt{};
   bool chosenLeaves = false;
   std::size_t leaders = 0;
   for (const auto& [database, own] : state_.databases(name)) {
-    if (!saysPrimary(name, database)) continue;
+    if (!reportsPrimary(name, database)) continue;
     ++leaders;
     auto at = access_.database(name, database)->heardAt;
     bool leaves = state_.drained(name, database) != nullptr;
@@ -23,59 +23,60 @@
     chosenLeaves = leaves;
   }
   if (!chosen) {
-    if (clock_.now() - duties_[name].seenAt > timings_.firstPrimary) co_await recover(name, "first primary");
+    if (clock_.now() - serviceDuties_[name].epochSeenAt > timings_.firstPrimary) co_await recover(name, "first primary");
     co_return;
   }
-  // which of them leads the newest term is told by their STATUS only
+  // only STATUS shows which of them has the newest term
   if (leaders > 1) co_return co_await recover(name, "first primary");
-  journal_.line("service " + name.get() + " has its first primary " + chosen->get());
+  journal_.line("service " + name.get() + ": first primary is database " + chosen->get() + ", by its heartbeat");
   RecoveryUpdate update{name, Epoch{}, *chosen, "first primary", false, Epoch{}};
-  co_await order(ControlMatter::recovery, packed(update));
+  co_await propose(ControlMatter::recovery, packed(update));
 }
 
 Task<void> Duties::recover(ServiceName name, std::string reason) {
   auto service = state_.services().at(name);
   bool leaves = service.drained.contains(service.primary);
-  std::optional<DatabaseName> besides;
-  if (service.epoch != Epoch{} && reason != "primary says it is none") besides = service.primary;
-  auto best = co_await candidate(name, besides);
+  std::optional<DatabaseName> excluded;
+  if (service.epoch != Epoch{} && reason != "primary says it is none") excluded = service.primary;
+  auto best = co_await findCandidate(name, excluded);
   if (!best || !state_.services().contains(name)) co_return;
   if (keepsAcknowledged(name) && !leaves && best->standing.place() < access_.acknowledged(name)) {
     auto search = co_await searchCommits(name, access_.acknowledged(name));
     if (!state_.services().contains(name)) co_return;
-    bool found = search.holder && search.holder->database != besides;
-    if (!found && search.mayReturn) co_return wait(name, *search.mayReturn);
+    bool found = search.holder && search.holder->database != excluded;
+    if (!found && search.waitReason) co_return setWaitReason(name, *search.waitReason);
     if (found) best = search.holder;
   }
   if (!onDuty()) co_return;
   bool orderly = leaves || reason == "primary is strained";
-  bool planned = service.promoted ? orderly && saysPrimary(name, service.primary) : service.planned;
-  journal_.line("service " + name.get() + " recovers to " + best->database.get() + ": " + reason);
+  bool planned = service.promoted ? orderly && reportsPrimary(name, service.primary) : service.planned;
+  journal_.line("service " + name.get() + ": recovery to database " + best->database.get() + ", reason: " + reason);
   RecoveryUpdate update{name, service.epoch, best->database, reason, planned, best->standing.term};
-  co_await order(ControlMatter::recovery, packed(update));
+  co_await propose(ControlMatter::recovery, packed(update));
 }
 
 Task<void> Duties::demote(ServiceName name, DatabaseName former) {
   auto found = target(name, former);
-  if (!found || !provedOnDuty()) co_return;
+  if (!found || !isSoleDutyHolder()) co_return;
   auto own = state_.services().at(name).epoch;
-  auto epoch = discovered(name) ? Epoch{std::max(duties_[name].highestTerm, access_.acknowledged(name).epoch).get() + 1} : own;
+  auto epoch = discovered(name) ? Epoch{std::max(serviceDuties_[name].highestTerm, access_.acknowledged(name).epoch).get() + 1} : own;
   auto standing = co_await databases_.demote(*found, epoch, clock_.now() + timings_.statusPatience);
   if (!standing) co_return;
-  noteTerm(name, std::max(standing->epoch, standing->term));
-  auto& duty = duties_[name];
+  recordTerm(name, std::max(standing->epoch, standing->term));
+  auto& duty = serviceDuties_[name];
   if (standing->role == "primary" || duty.epoch != own) co_return;
   if (!duty.demotedAt) duty.demotedAt = clock_.now();
-  duty.finalPlace = std::max(duty.finalPlace, standing->place());
+  duty.finalPosition = std::max(duty.finalPosition, standing->place());
 }
 
-Task<void> Duties::demoteStray(ServiceName name) {
+Task<void> Duties::demoteStrayPrimaries(ServiceName name) {
   std::vector<DatabaseName> strays;
   for (const auto& [database, own] : state_.databases(name))
-    if (database != state_.services().at(name).primary && saysPrimary(name, database)) strays.push_back(database);
-  auto& duty = duties_[name];
-  if (strays.empty() || !provedOnDuty() || (discovered(name) && clock_.now() - duty.demoteAskedAt < timings_.statusPatience)) co_return;
-  duty.demoteAskedAt = clock_.now();
+    if (database != state_.services().at(name).primary && reportsPrimary(name, database)) strays.push_back(database);
+  auto& duty = serviceDuties_[name];
+  if (strays.empty() || !isSoleDutyHolder() || (discovered(name) && clock_.now() - duty.demoteRequestedAt < timings_.statusPatience))
+    co_return;
+  duty.demoteRequestedAt = clock_.now();
   for (const auto& database : strays) {
     journal_.count("duties.strays_demoted");
     co_await demote(name, database);
@@ -86,51 +87,54 @@
 Task<void> Duties::promote(ServiceName name) {
   auto service = state_.services().at(name);
   if (!present(name, service.primary) || service.drained.contains(service.primary))
-    if (!service.servedBy.get().empty() || !saysPrimary(name, service.primary)) co_return co_await recover(name, "chosen database is gone");
+    if (!service.servedBy.get().empty() || !reportsPrimary(name, service.primary))
+      co_return co_await recover(name, "chosen database is gone");
   bool first = service.servedBy.get().empty();
-  if (first && discovered(name) && saysPrimary(name, service.primary)) {
+  if (first && discovered(name) && reportsPrimary(name, service.primary)) {
     PromotedUpdate update{name, service.epoch, service.chosenTerm};
-    co_await order(ControlMatter::promoted, packed(update));
+    co_await propose(ControlMatter::promoted, packed(update));
     co_return;
   }
-  if (!provedOnDuty()) co_return journal_.count("duties.unproved");
-  auto behind = first ? std::nullopt : leftBehind(name, service);
-  bool left = !behind;
-  bool demotes = !first && service.servedBy != service.primary && !duties_[name].demotedAt && present(name, service.servedBy);
-  if (demotes && (!service.planned || left || leasesOver(name)) && clock_.now() - duties_[name].demoteAskedAt > timings_.statusPatience) {
-    duties_[name].demoteAskedAt = clock_.now();
+  if (!isSoleDutyHolder()) co_return journal_.count("duties.unproved");
+  auto oldEpochNode = first ? std::nullopt : nodeInOldEpoch(name, service);
+  bool allLeft = !oldEpochNode;
+  bool demotesFormer = !first && service.servedBy != service.primary && !serviceDuties_[name].demotedAt && present(name, service.servedBy);
+  if (demotesFormer && (!service.planned || allLeft || oldLeasesExpired(name)) &&
+      clock_.now() - serviceDuties_[name].demoteRequestedAt > timings_.statusPatience) {
+    serviceDuties_[name].demoteRequestedAt = clock_.now();
     if (service.planned)
       co_await demote(name, service.servedBy);
     else
       scope_.spawn(demote(name, service.servedBy));
   }
-  if (!pending(name, service.epoch)) co_return;
-  const auto& duty = duties_[name];
-  bool ready = left || leasesOver(name) || (!discovered(name) && duty.demotedAt);
-  bool awaitsDemote = service.planned && demotes && !duty.demotedAt && !leasesOver(name);
-  if (!ready && clock_.now() - duty.seenAt > timings_.statusPatience)
-    wait(name, "node " + behind->get() + " has not left the former epoch");
-  if (!ready || awaitsDemote || clock_.now() < duty.promoteAfter) co_return;
-  if (!co_await holdsNeeded(name, service) || !pending(name, service.epoch)) co_return;
-  if (mayHaveBeenCalled(name))
-    if (auto term = co_await leadsAlready(name, service)) co_return co_await confirm(name, service, *term);
-  if (pending(name, service.epoch)) co_await callPromotion(name, service);
+  if (!promotionPending(name, service.epoch)) co_return;
+  const auto& duty = serviceDuties_[name];
+  bool ready = allLeft || oldLeasesExpired(name) || (!discovered(name) && duty.demotedAt);
+  bool awaitsDemotion = service.planned && demotesFormer && !duty.demotedAt && !oldLeasesExpired(name);
+  if (!ready && clock_.now() - duty.epochSeenAt > timings_.statusPatience)
+    setWaitReason(name, "node " + oldEpochNode->get() + " has not left the former epoch");
+  if (!ready || awaitsDemotion || clock_.now() < duty.nextPromoteAt) co_return;
+  if (!co_await holdsRequiredCommits(name, service) || !promotionPending(name, service.epoch)) co_return;
+  if (formerHolderMayHavePromoted(name))
+    if (auto term = co_await alreadyPromotedTerm(name, service)) co_return co_await confirmPromotion(name, service, *term);
+  if (promotionPending(name, service.epoch)) co_await requestPromotion(name, service);
 }
 
-// the epoch began before this member took the duties: a former holder may have called for the promotion
-bool Duties::mayHaveBeenCalled(const ServiceName& name) const {
+// The epoch began before this member took the duties: a former holder may have requested the promotion already.
+bool Duties::formerHolderMayHavePromoted(const ServiceName& name) const {
   const auto* seen = seenEpoch(name);
-  return !seen || seen->at < takenAt_;
+  return !seen || seen->at < dutiesTakenAt_;
 }
 
-// the term in which the database leads by a former holder's call; holders that call in turn would be taken for two
-Task<std::optional<Epoch>> Duties::leadsAlready(ServiceName name, ServiceState service) {
+// The term in which the database is primary by a former holder's call. Without this check each new holder would call again,
+// and one promotion would look like two.
+Task<std::optional<Epoch>> Duties::alreadyPromotedTerm(ServiceName name, ServiceState service) {
   auto proof = promotionProof(name, service);
   auto until = clock_.now() + timings_.statusPatience;
-  while (pending(name, service.epoch) && clock_.now() < until) {
+  while (promotionPending(name, service.epoch) && clock_.now() < until) {
     auto askedAt = clock_.now();
-    auto standing = co_await status(name, service.primary, timings_.probePatience);
-    if (standing) co_return proof.shownBy(*standing, askedAt) ? std::optional{standing->term} : std::nullopt;
+    auto standing = co_await queryStatus(name, service.primary, timings_.probePatience);
+    if (standing) co_return proof.confirmedBy(*standing, askedAt) ? std::optional{standing->term} : std::nullopt;
     co_await sleep(clock_, timings_.duty);
   }
   co_return std::nullopt;
@@ -141,149 +145,152 @@
   return PromotionProof(service.chosenTerm, lastLed, clock_.now(), timings_.promotionEffect);
 }
 
-Task<void> Duties::confirm(ServiceName name, ServiceState service, Epoch term) {
-  if (!pending(name, service.epoch)) co_return;
-  waits_.erase(name);
+Task<void> Duties::confirmPromotion(ServiceName name, ServiceState service, Epoch term) {
+  if (!promotionPending(name, service.epoch)) co_return;
+  waitReasons_.erase(name);
   PromotedUpdate update{name, service.epoch, term};
-  if (co_await order(ControlMatter::promoted, packed(update)))
-    journal_.line("service " + name.get() + " is led by " + service.primary.get());
+  if (co_await propose(ControlMatter::promoted, packed(update)))
+    journal_.line("service " + name.get() + ": database " + service.primary.get() + " is primary in term " + std::to_string(term.get()));
 }
 
-Place Duties::needed(const ServiceName& name, const ServiceState& service) const {
-  const auto& duty = duties_.at(name);
+Place Duties::requiredPosition(const ServiceName& name, const ServiceState& service) const {
+  const auto& duty = serviceDuties_.at(name);
   bool keeps = keepsAcknowledged(name);
-  auto needed = keeps ? access_.acknowledged(name) : Place{};
+  auto required = keeps ? access_.acknowledged(name) : Place{};
   bool mayReach = duty.demotedAt && clock_.now() - *duty.demotedAt <= timings_.lease + timings_.leaseMargin;
-  return mayReach && (keeps || service.planned) ? std::max(needed, duty.finalPlace) : needed;
+  return mayReach && (keeps || service.planned) ? std::max(required, duty.finalPosition) : required;
 }
 
-// in a planned change the chosen database is asked again until it has what is needed, for a while
-Task<std::optional<DatabaseStanding>> Duties::reached(ServiceName name, ServiceState service, Place needed,
-                                                      std::optional<DatabaseStanding> standing) {
+// In a planned change the chosen database is asked again, for `statusPatience` at most, until it has reached the position.
+Task<std::optional<DatabaseStanding>> Duties::awaitRequiredPosition(ServiceName name, ServiceState service, Place required,
+                                                                    std::optional<DatabaseStanding> standing) {
   auto deadline = clock_.now() + timings_.statusPatience;
   for (Duration pause = 30ms;; pause = pause * 3 / 2) {
-    bool waits = service.planned && standing && standing->place() < needed && clock_.now() < deadline && pending(name, service.epoch);
+    bool waits =
+        service.planned && standing && standing->place() < required && clock_.now() < deadline && promotionPending(name, service.epoch);
     if (!waits) co_return standing;
     co_await sleep(clock_, pause);
-    standing = co_await status(name, service.primary, timings_.statusPatience);
+    standing = co_await queryStatus(name, service.primary, timings_.statusPatience);
   }
 }
 
-Task<bool> Duties::holdsNeeded(ServiceName name, ServiceState service) {
+Task<bool> Duties::holdsRequiredCommits(ServiceName name, ServiceState service) {
   bool keeps = keepsAcknowledged(name);
-  auto needed = this->needed(name, service);
-  if (!keeps && needed == Place{}) co_return true;
+  auto required = this->requiredPosition(name, service);
+  if (!keeps && required == Place{}) co_return true;
   auto among = keeps ? candidates(name, std::nullopt) : std::vector<DatabaseName>{};
-  auto others = keeps && mayLackReports(name, service) ? otherReplicas(name, among) : std::vector<DatabaseName>{};
+  auto others = keeps && missingReportsReason(name, service) ? nonCandidateReplicas(name, among) : std::vector<DatabaseName>{};
   std::set<DatabaseName> asked(among.begin(), among.end());
   asked.insert(others.begin(), others.end());
   asked.insert(service.primary);
-  auto survey = co_await this->survey(name, asked);
-  if (!pending(name, service.epoch)) co_return false;
-  auto standing = co_await reached(name, service, needed, survey->standings[service.primary]);
-  if (!pending(name, service.epoch)) co_return false;
+  auto poll = co_await this->pollStatus(name, asked);
+  if (!promotionPending(name, service.epoch)) co_return false;
+  auto standing = co_await awaitRequiredPosition(name, service, required, poll->standings[service.primary]);
+  if (!promotionPending(name, service.epoch)) co_return false;
   if (!standing) {
-    auto patience = discovered(name) ? timings_.silence() : 2 * (timings_.lease + timings_.leaseMargin);
-    if (clock_.now() - duties_[name].seenAt > patience) co_await recover(name, "chosen database is silent");
+    auto timeout = discovered(name) ? timings_.silence() : 2 * (timings_.lease + timings_.leaseMargin);
+    if (clock_.now() - serviceDuties_[name].epochSeenAt > timeout) co_await recover(name, "chosen database is silent");
     co_return false;
   }
   if (!keeps) {
-    if (standing->place() >= needed) co_return true;
-    wait(name, "the chosen database has not yet what the former primary held");
+    if (standing->place() >= required) co_return true;
+    setWaitReason(name, "the chosen database has not yet what the former primary held");
     co_return false;
   }
-  auto best = this->best(name, among, *survey);
+  auto best = this->bestCandidate(name, among, *poll);
   if (!best) co_return false;
-  bool lacks = standing->place() < needed;
-  if (best->standing.place() > standing->place() && (lacks || mayLackReports(name, service))) {
-    co_await chooseBetter(name);
+  bool lacks = standing->place() < required;
+  if (best->standing.place() > standing->place() && (lacks || missingReportsReason(name, service))) {
+    co_await replaceChosen(name);
     co_return false;
   }
-  if (lacks && !co_await givesUp(name, service, needed)) co_return false;
-  auto why = mayLackReports(name, service);
+  if (lacks && !co_await mayAbandonCommits(name, service, required)) co_return false;
+  auto why = missingReportsReason(name, service);
   if (!why) co_return true;
-  auto mayHoldMore = best->mayHoldMore ? best->mayHoldMore : mayHoldMoreThan(name, among, *survey, *standing);
+  auto mayHoldMore = best->unansweredReplica ? best->unansweredReplica : replicaThatMayHoldMore(name, among, *poll, *standing);
   if (!mayHoldMore) co_return true;
-  wait(name, "database " + mayHoldMore->get() + " may hold more: " + *why);
+  setWaitReason(name, "database " + mayHoldMore->get() + " may hold more: " + *why);
   co_return false;
 }
 
-// why commits may have been acknowledged that no node has told of
-std::optional<std::string> Duties::mayLackReports(const ServiceName& name, const ServiceState& service) const {
+// Why there may be acknowledged commits that no node has reported.
+std::optional<std::string> Duties::missingReportsReason(const ServiceName& name, const ServiceState& service) const {
   bool first = service.servedBy.get().empty();
-  return first ? std::nullopt : unproved(name);
+  return first ? std::nullopt : unreportedNodeReason(name);
 }
 
-// once no node works under the former epoch, so that what the databases hold does not change any more
-Task<void> Duties::chooseBetter(ServiceName name) {
-  bool settled = leasesOver(name) && clock_.now() - duties_[name].seenAt > 2 * timings_.lease;
+// Only once no node works under the former epoch, so that the positions of the databases do not change any more.
+Task<void> Duties::replaceChosen(ServiceName name) {
+  bool settled = oldLeasesExpired(name) && clock_.now() - serviceDuties_[name].epochSeenAt > 2 * timings_.lease;
   if (settled) co_return co_await recover(name, "another database holds more");
-  wait(name, "another database holds more than the chosen one");
+  setWaitReason(name, "another database holds more than the chosen one");
 }
 
-// whether the chosen database may lead though it lacks acknowledged commits; else one that holds them is chosen, or awaited
-Task<bool> Duties::givesUp(ServiceName name, ServiceState service, Place needed) {
-  auto age = clock_.now() - duties_[name].seenAt;
+// Whether the chosen database may become primary although it lacks acknowledged commits. If not, a database that holds them is
+// chosen or waited for.
+Task<bool> Duties::mayAbandonCommits(ServiceName name, ServiceState service, Place required) {
+  auto age = clock_.now() - serviceDuties_[name].epochSeenAt;
   if (age <= timings_.lease + timings_.leaseMargin + timings_.databaseOut) {
-    wait(name, "the chosen database has not all that was acknowledged");
+    setWaitReason(name, "the chosen database has not all that was acknowledged");
     co_return false;
   }
-  auto search = co_await searchCommits(name, needed);
-  if (!pending(name, service.epoch)) co_return false;
+  auto search = co_await searchCommits(name, required);
+  if (!promotionPending(name, service.epoch)) co_return false;
   if (search.holder && search.holder->database != service.primary) {
     co_await recover(name, "another database holds more");
     co_return false;
   }
-  if (search.mayReturn) {
-    wait(name, *search.mayReturn);
+  if (search.waitReason) {
+    setWaitReason(name, *search.waitReason);
     co_return false;
   }
-  journal_.line("service " + name.get() + " gives up acknowledged commits that no planned database holds");
+  journal_.line("service " + name.get() + ": abandons acknowledged commits that no planned database holds, chosen database " +
+                service.primary.get());
   co_return true;
 }
 
-Task<void> Duties::callPromotion(ServiceName name, ServiceState service) {
+Task<void> Duties::requestPromotion(ServiceName name, ServiceState service) {
   auto chosen = target(name, service.primary);
-  if (!chosen || !provedOnDuty()) co_return;
+  if (!chosen || !isSoleDutyHolder()) co_return;
   journal_.count("duties.promote_calls");
   auto calledAt = clock_.now();
   auto fence = engine_.primComponent().primIndex;
-  DutyHolder holder{own_.address, fence, [this, fence] {
-                      return provedOnDuty() && engine_.primComponent().primIndex == fence;
+  DutyHolder holder{ownId_.address, fence, [this, fence] {
+                      return isSoleDutyHolder() && engine_.primComponent().primIndex == fence;
                     }};
-  dutyEpochs_.note(holder.fence, provedOnDuty());
+  dutyEpochCheck_.observe(holder.fence, isSoleDutyHolder());
   auto outcome = co_await databases_.promote(*chosen, service.epoch, holder, calledAt + timings_.promotePatience);
-  if (!pending(name, service.epoch)) co_return;
+  if (!promotionPending(name, service.epoch)) co_return;
   if (outcome == PromotionOutcome::refused) co_return co_await recover(name, "the chosen database cannot become primary");
   std::optional<Epoch> led;
   if (outcome == PromotionOutcome::led) led = service.epoch;
-  if (outcome == PromotionOutcome::accepted) led = co_await leads(name, service, calledAt);
-  if (!pending(name, service.epoch)) co_return;
+  if (outcome == PromotionOutcome::accepted) led = co_await awaitPromotedTerm(name, service, calledAt);
+  if (!promotionPending(name, service.epoch)) co_return;
   if (!led) {
-    auto& duty = duties_[name];
-    duty.promotePause = std::clamp<Duration>(2 * duty.promotePause, timings_.duty, 16 * timings_.duty);
-    duty.promoteAfter = clock_.now() + duty.promotePause;
-    co_return wait(name, outcome == PromotionOutcome::accepted ? "the chosen database does not say that it leads"
-                                                               : "the platform did not confirm the promotion");
+    auto& duty = serviceDuties_[name];
+    duty.promoteBackoff = std::clamp<Duration>(2 * duty.promoteBackoff, timings_.duty, 16 * timings_.duty);
+    duty.nextPromoteAt = clock_.now() + duty.promoteBackoff;
+    co_return setWaitReason(name, outcome == PromotionOutcome::accepted ? "the chosen database does not say that it leads"
+                                                                        : "the platform did not confirm the promotion");
   }
-  co_await confirm(name, service, *led);
+  co_await confirmPromotion(name, service, *led);
 }
 
-// the term in which the database leads, once its STATUS proves that the call has taken effect
-Task<std::optional<Epoch>> Duties::leads(ServiceName name, ServiceState service, Instant calledAt) {
+// The term in which the database is primary, once its STATUS proves that the call has taken effect.
+Task<std::optional<Epoch>> Duties::awaitPromotedTerm(ServiceName name, ServiceState service, Instant calledAt) {
   auto proof = promotionProof(name, service);
   auto askAgainAt = calledAt + timings_.leadPatience;
-  bool toldToLead = false;
+  bool reportedPrimary = false;
   Duration pause = timings_.duty;
-  while (pending(name, service.epoch) && clock_.now() - calledAt < 10 * timings_.leadPatience) {
-    const auto* sign = access_.database(name, service.primary);
-    bool tellsToLead = sign && sign->heardAt > calledAt && sign->heartbeat.role == "primary";
-    if (tellsToLead && !std::exchange(toldToLead, true)) askAgainAt = clock_.now();
+  while (promotionPending(name, service.epoch) && clock_.now() - calledAt < 10 * timings_.leadPatience) {
+    const auto* contact = access_.database(name, service.primary);
+    bool reportsPrimaryNow = contact && contact->heardAt > calledAt && contact->heartbeat.role == "primary";
+    if (reportsPrimaryNow && !std::exchange(reportedPrimary, true)) askAgainAt = clock_.now();
     if (clock_.now() >= askAgainAt) {
       auto askedAt = clock_.now();
-      auto standing = co_await status(name, service.primary, timings_.statusPatience);
-      if (standing && proof.shownBy(*standing, askedAt)) co_return standing->term;
-      askAgainAt = clock_.now() + (toldToLead ? pause : timings_.leadPatience);
+      auto standing = co_await queryStatus(name, service.primary, timings_.statusPatience);
+      if (standing && proof.confirmedBy(*standing, askedAt)) co_return standing->term;
+      askAgainAt = clock_.now() + (reportedPrimary ? pause : timings_.leadPatience);
       pause = std::min(2 * pause, timings_.leadPatience);
     }
     co_await wake_.wait(clock_, clock_.now() + 20ms);
--- a/src/control/promotion_proof.hpp
+++ b/src/control/promotion_proof.hpp
@@ -7,29 +7,29 @@
 
 namespace tamarindshift {
 
-/// Tells from a database's STATUS whether the promotion that was asked for has taken effect.
+/// Decides from a database's STATUS whether the requested promotion has taken effect.
 ///
-/// A role alone proves nothing: a former primary goes on saying "primary" until the new term begins. What proves the
-/// promotion is a term above all that led before.
+/// The role alone is no proof: a former primary goes on reporting "primary" until the new term begins. The proof is a
+/// term above every term that had a primary before.
 class PromotionProof {
  public:
-  /// `whenChosen` is the term that the database told before it was chosen, `lastLed` the newest term known to have led.
-  /// The call was taken at `acceptedAt` and takes effect within `effectWithin`, if it changes anything.
-  PromotionProof(Epoch whenChosen, Epoch lastLed, Instant acceptedAt, Duration effectWithin)
-      : whenChosen_(whenChosen), lastLed_(lastLed), settledAt_(acceptedAt + effectWithin) {}
+  /// `termWhenChosen`: the term that the database reported before it was chosen; `lastLedTerm`: the newest term known to
+  /// have had a primary. The call was accepted at `acceptedAt` and takes effect within `effectTimeout`, if it changes anything.
+  PromotionProof(Epoch termWhenChosen, Epoch lastLedTerm, Instant acceptedAt, Duration effectTimeout)
+      : termWhenChosen_(termWhenChosen), lastLedTerm_(lastLedTerm), settledAt_(acceptedAt + effectTimeout) {}
 
-  /// Whether a STATUS that was asked for at `askedAt` shows that the database leads by this promotion.
-  bool shownBy(const DatabaseStanding& standing, Instant askedAt) const {
+  /// Whether a STATUS that was requested at `askedAt` proves that the database is primary by this promotion.
+  bool confirmedBy(const DatabaseStanding& standing, Instant askedAt) const {
     if (standing.role != "primary") return false;
-    if (standing.term > std::max(whenChosen_, lastLed_)) return true;
-    // the promotion of a database that leads already changes nothing, so its term does not rise
+    if (standing.term > std::max(termWhenChosen_, lastLedTerm_)) return true;
+    // promoting a database that is primary already changes nothing, so its term does not rise
     bool settled = askedAt >= settledAt_;
-    return settled && (standing.term > whenChosen_ || standing.term >= lastLed_);
+    return settled && (standing.term > termWhenChosen_ || standing.term >= lastLedTerm_);
   }
 
  private:
-  Epoch whenChosen_;
-  Epoch lastLed_;
+  Epoch termWhenChosen_;
+  Epoch lastLedTerm_;
   Instant settledAt_;
 };
 
--- a/src/control/ration.hpp
+++ b/src/control/ration.hpp
@@ -7,12 +7,15 @@
 
 namespace tamarindshift {
 
-// How nodes that share one crowded database agree which work gets its connections first: work of an order up to
-// `freeThrough` is not held; all work of later orders together has at each node the connections that `later` names.
+/// Limits how many connections of a crowded database work of later orders gets, the same at all nodes that share it.
+/// Orders are the priorities of work; lower numbers go first.
 struct Ration {
+  /// Work of this order and of all earlier ones is not limited.
   std::uint32_t freeThrough = 0;
+  /// For each node the connections that all work of later orders together may use.
   std::map<Address, std::uint32_t> later;
-  std::uint32_t laterAt(const Address& node) const {
+  /// The limit of a node for work of later orders; 0 for a node that `later` does not name.
+  std::uint32_t laterLimitAt(const Address& node) const {
     auto found = later.find(node);
     return found == later.end() ? 0 : found->second;
   }
@@ -20,9 +23,9 @@
   MSGPACK_DEFINE(freeThrough, later)
 };
 
-// connections that work of an order keeps running or waits for, in tenths
-using OrderedDemand = std::map<std::uint32_t, std::uint32_t>;
+/// By order: connections that the work of the order keeps busy or waits for, in units of 1/`demandUnitsPerConnection`.
+using DemandByOrder = std::map<std::uint32_t, std::uint32_t>;
 
-constexpr std::uint32_t demandUnit = 10;
+constexpr std::uint32_t demandUnitsPerConnection = 10;
 
 }  // namespace tamarindshift
--- a/src/control/ration_duties.cpp
+++ b/src/control/ration_duties.cpp
@@ -1,19 +1,19 @@
 #include <algorithm>
 
 #include "control/duties.hpp"
-#include "control/ration_cut.hpp"
+#include "control/ration_allocation.hpp"
 
 namespace tamarindshift {
 
 namespace {
 
-// with as much waiting at the database as running its slots are never idle
+// with as many statements waiting at the database as running, its slots are never idle
 constexpr std::uint32_t runningPerSlot = 2;
 
 }  // namespace
 
-std::map<DatabaseName, NodeDemands> Duties::demands(const ServiceName& name) const {
-  std::map<DatabaseName, NodeDemands> demands;
+std::map<DatabaseName, DemandsByNode> Duties::collectDemands(const ServiceName& name) const {
+  std::map<DatabaseName, DemandsByNode> demands;
   for (const auto& [address, node] : access_.nodes()) {
     if (clock_.now() - node.heardAt > timings_.suspicionKept) continue;
     auto own = node.report.services.find(name);
@@ -23,31 +23,31 @@
   return demands;
 }
 
-Task<void> Duties::rations(ServiceName name) {
+Task<void> Duties::updateRations(ServiceName name) {
   if (!rationing_ || !discovered(name) || !state_.services().contains(name)) co_return;
-  auto& reviewedAt = duties_[name].rationsReviewedAt;
+  auto& reviewedAt = serviceDuties_[name].rationsReviewedAt;
   if (clock_.now() - reviewedAt < timings_.rationPause) co_return;
   reviewedAt = clock_.now();
   const auto& held = state_.services().at(name).rations;
-  auto asked = demands(name);
-  Orders orders;
+  auto asked = collectDemands(name);
+  Proposals proposals;
   for (const auto& [database, own] : state_.databases(name)) {
     auto current = held.find(database);
     const auto& demands = asked[database];
     if (demands.empty() && current == held.end()) continue;
-    Weights weights;
+    NodeWeights weights;
     for (const auto& [node, asks] : demands) weights[node] = state_.plan()->weightOf(node);
     auto before = current == held.end() ? Ration{} : current->second;
-    auto ration = cutRation(runningPerSlot * std::max(own.capacity, 1u), demands, weights, before);
+    auto ration = allocateRation(runningPerSlot * std::max(own.capacity, 1u), demands, weights, before);
     if (current == held.end() ? !ration : ration == before) continue;
     if (!ration || current == held.end())
-      journal_.line("database " + database.get() + " of " + name.get() +
-                    (ration ? " is crowded, its work goes by order" : " is rationed no more"));
+      journal_.line("database " + database.get() + " of service " + name.get() +
+                    (ration ? ": crowded, work is limited by order" : ": not crowded any more, work is not limited"));
     journal_.count("duties.rations");
     RationUpdate update{name, database, ration};
-    orders.emplace_back(ControlMatter::ration, packed(update));
+    proposals.emplace_back(ControlMatter::ration, packed(update));
   }
-  co_await orderAll(std::move(orders));
+  co_await proposeAll(std::move(proposals));
 }
 
 }  // namespace tamarindshift
--- a/src/control/replica_metrics.cpp
+++ b/src/control/replica_metrics.cpp
@@ -35,7 +35,7 @@
   for (const auto& [name, service] : services)
     page.sample({{"service", name.get()}, {"primary", service.primary.get()}}, service.promoted ? 1 : 0);
   page.gauge("recovery_waits", "What the recovery of a service waits for.");
-  for (const auto& [name, reason] : replica.duties().waits()) page.sample({{"service", name.get()}, {"reason", reason}}, 1);
+  for (const auto& [name, reason] : replica.duties().waitReasons()) page.sample({{"service", name.get()}, {"reason", reason}}, 1);
 }
 
 }  // namespace
--- a/src/control/replica_node.cpp
+++ b/src/control/replica_node.cpp
@@ -129,8 +129,8 @@
   const auto& own = core_.own();
   while (clock_.now() < deadline && (ordering_ > 0 || !MemberReplacement::othersHoldAll(engine(), own, settings_.losses)))
     co_await sleep(clock_, pause);
-  if (MemberReplacement::spare(engine(), own, settings_.losses)) engine().requestLeave(own);
-  while (clock_.now() < deadline && MemberReplacement::spare(engine(), own, settings_.losses)) co_await sleep(clock_, pause);
+  if (MemberReplacement::canSpare(engine(), own, settings_.losses)) engine().requestLeave(own);
+  while (clock_.now() < deadline && MemberReplacement::canSpare(engine(), own, settings_.losses)) co_await sleep(clock_, pause);
   core_.retire();
   handedOverAt_ = clock_.now();
 }
--- a/src/control/replica_status.cpp
+++ b/src/control/replica_status.cpp
@@ -67,12 +67,12 @@
                                        {"heard_ms_ago", milliseconds(sign.age).count()}};
   for (const auto& [database, enrolled] : state.databases(name)) {
     own["addresses"][database.get()] = enrolled.address.get();
-    if (auto reasons = duties.unused(name, database); !reasons.empty()) own["unused"][database.get()] = reasons;
+    if (auto reasons = duties.unusedReasons(name, database); !reasons.empty()) own["unused"][database.get()] = reasons;
   }
   if (!duties.onDuty()) return own;
-  if (auto waits = duties.waits().find(name); waits != duties.waits().end()) own["waits"] = waits->second;
-  if (auto awaited = duties.awaited(name); !awaited.empty()) own["shares_awaited"] = texts(awaited);
-  for (const auto& [node, reason] : duties.shareless(name)) own["shareless"][node.get()] = reason;
+  if (auto waits = duties.waitReasons().find(name); waits != duties.waitReasons().end()) own["waits"] = waits->second;
+  if (auto awaited = duties.nodesBehindOnShares(name); !awaited.empty()) own["shares_awaited"] = texts(awaited);
+  for (const auto& [node, reason] : duties.nodesWithoutShare(name)) own["shareless"][node.get()] = reason;
   return own;
 }
 
--- a/src/control/share_cut.cpp
+++ b/src/control/share_allocation.cpp
@@ -1,4 +1,4 @@
-#include "control/share_cut.hpp"
+#include "control/share_allocation.hpp"
 
 #include <algorithm>
 #include <set>
@@ -7,44 +7,44 @@
 
 namespace {
 
-std::map<Address, std::uint32_t> cutBranch(const PlanBranch& branch, const std::map<Address, std::uint32_t>& wanted,
-                                           const Weights& weights) {
+std::map<Address, std::uint32_t> allocateBranch(const PlanBranch& branch, const std::map<Address, std::uint32_t>& wanted,
+                                                const NodeWeights& weights) {
   std::map<Address, std::uint32_t> given;
   if (wanted.empty()) return given;
   auto nodes = static_cast<std::uint32_t>(wanted.size());
   auto floor = std::min(std::max(branch.floor, 1u), branch.connections / nodes);
-  auto left = branch.connections - floor * nodes;
+  auto remaining = branch.connections - floor * nodes;
   for (const auto& [node, want] : wanted) given[node] = floor;
   auto weight = [&](const Address& node) {
     auto found = weights.find(node);
     return found == weights.end() ? 1u : found->second;
   };
-  using Place = std::pair<std::uint64_t, Address>;
-  auto giveOut = [&](bool onlyHungry) {
-    std::set<Place> order;
-    auto hungry = [&](const Address& node) {
-      return !onlyHungry || given.at(node) < wanted.at(node);
+  using RankedNode = std::pair<std::uint64_t, Address>;
+  auto distribute = [&](bool onlyBelowWanted) {
+    std::set<RankedNode> queue;
+    auto eligible = [&](const Address& node) {
+      return !onlyBelowWanted || given.at(node) < wanted.at(node);
     };
     auto rank = [&](const Address& node) {
-      return given.at(node) * shareScale / weight(node);
+      return given.at(node) * weightScale / weight(node);
     };
     for (const auto& [node, amount] : given)
-      if (hungry(node)) order.emplace(rank(node), node);
-    while (left > 0 && !order.empty()) {
-      auto node = order.extract(order.begin()).value().second;
+      if (eligible(node)) queue.emplace(rank(node), node);
+    while (remaining > 0 && !queue.empty()) {
+      auto node = queue.extract(queue.begin()).value().second;
       ++given[node];
-      --left;
-      if (hungry(node)) order.emplace(rank(node), node);
+      --remaining;
+      if (eligible(node)) queue.emplace(rank(node), node);
     }
   };
-  giveOut(true);
-  giveOut(false);
+  distribute(true);
+  distribute(false);
   return given;
 }
 
 }  // namespace
 
-Grants cutShares(const PlanService& service, const Wanted& wanted, const Weights& weights) {
+Grants allocateShares(const PlanService& service, const WantedShares& wanted, const NodeWeights& weights) {
   Grants grants;
   for (const auto& [name, branch] : service.branches) {
     std::map<Address, std::uint32_t> wants;
@@ -52,12 +52,12 @@
       auto found = branches.find(name);
       wants[node] = found == branches.end() ? 0 : found->second;
     }
-    for (const auto& [node, amount] : cutBranch(branch, wants, weights)) grants[node][name] = amount;
+    for (const auto& [node, amount] : allocateBranch(branch, wants, weights)) grants[node][name] = amount;
   }
   return grants;
 }
 
-PlanService without(PlanService service, const Grants& reserved) {
+PlanService withoutReserved(PlanService service, const Grants& reserved) {
   for (const auto& [node, branches] : reserved)
     for (const auto& [name, amount] : branches)
       if (auto branch = service.branches.find(name); branch != service.branches.end())
@@ -65,7 +65,7 @@
   return service;
 }
 
-Grants lowered(const Grants& held, const Grants& target) {
+Grants lowerGrants(const Grants& held, const Grants& target) {
   Grants lower;
   for (const auto& [node, branches] : held) {
     auto aim = target.find(node);
--- a/src/control/share_check.hpp
+++ b/src/control/share_check.hpp
@@ -5,8 +5,8 @@
 
 namespace tamarindshift {
 
-/// Checks for each branch of a service that what nodes hold of it, granted and reserved, is within its cap. It sums by
-/// itself, apart from the code that cuts and applies shares.
+/// Checks for each branch of a service that granted and reserved connections together are within its cap. It sums
+/// independently of the code that computes and applies shares.
 void checkSharesWithinBranches(Journal& journal, const ServiceName& name, const PlanService& planned, const ServiceState& service);
 
 }  // namespace tamarindshift
--- a/src/control/share_duties.cpp
+++ b/src/control/share_duties.cpp
@@ -2,56 +2,56 @@
 
 #include "control/duties.hpp"
 #include "control/share_check.hpp"
-#include "control/share_cut.hpp"
+#include "control/share_allocation.hpp"
 
-// How the connections of each service are divided among the nodes, and when a share may move.
+// Divides the connections of each service among the nodes and decides when a share may move to another node.
 
 namespace tamarindshift {
 
 void Duties::checkShares(const ServiceName& name, const ServiceState& service) {
   const auto* planned = state_.planned(name);
-  // a newer configuration may leave less than what the last move of shares was cut from
-  if (planned && planSame_) checkSharesWithinBranches(journal_, name, *planned, service);
+  // a newer configuration may have fewer connections than the one that the last change of shares was computed from
+  if (planned && planUnchanged_) checkSharesWithinBranches(journal_, name, *planned, service);
 }
 
-std::uint64_t Duties::followed(const ServiceName& name, const Address& node) const {
-  const auto* known = heard(node);
+std::uint64_t Duties::followedPosition(const ServiceName& name, const Address& node) const {
+  const auto* known = reportOf(node);
   if (!known) return 0;
   auto own = known->report.services.find(name);
   return own == known->report.services.end() ? 0 : own->second.followed;
 }
 
-bool Duties::overdue(const ServiceName& name, const Address& node) const {
-  auto duty = duties_.find(name);
-  if (duty == duties_.end()) return false;
-  const auto& seen = duty->second.reservedSeenAt;
+bool Duties::reservationExpired(const ServiceName& name, const Address& node) const {
+  auto duty = serviceDuties_.find(name);
+  if (duty == serviceDuties_.end()) return false;
+  const auto& seen = duty->second.reservationsSeen;
   auto found = seen.find(node);
   return found != seen.end() && clock_.now() - found->second.second > timings_.shareHold();
 }
 
-// a node that holds nothing has nothing to release; it is waited for only so that all that start together get shares
-bool Duties::newcomersWaitedFor(const ServiceName& name) const {
-  auto duty = duties_.find(name);
-  return duty != duties_.end() && clock_.now() - duty->second.sharesSeenAt > timings_.nodeSilence;
+// A node that holds nothing has nothing to release. It is waited for only so that nodes that start together all get shares.
+bool Duties::newcomerWaitOver(const ServiceName& name) const {
+  auto duty = serviceDuties_.find(name);
+  return duty != serviceDuties_.end() && clock_.now() - duty->second.sharesVersionSeenAt > timings_.nodeSilence;
 }
 
-bool Duties::follows(const ServiceName& name, const ServiceState& service, const Address& node) const {
-  if (followed(name, node) >= service.sharesAt) return true;
-  if (!service.holds(node) && newcomersWaitedFor(name)) return true;
+bool Duties::followsShares(const ServiceName& name, const ServiceState& service, const Address& node) const {
+  if (followedPosition(name, node) >= service.sharesAt) return true;
+  if (!service.holds(node) && newcomerWaitOver(name)) return true;
   if (!silent(node)) return false;
   auto reserved = service.reserved.find(node);
   if (reserved == service.reserved.end()) return !service.holds(node);
-  return followed(name, node) >= reserved->second.basis || overdue(name, node);
+  return followedPosition(name, node) >= reserved->second.basis || reservationExpired(name, node);
 }
 
-bool Duties::everyNodeFollows(const ServiceName& name, const ServiceState& service) const {
+bool Duties::everyNodeFollowsShares(const ServiceName& name, const ServiceState& service) const {
   return std::all_of(state_.nodes().begin(), state_.nodes().end(), [&](const auto& each) {
-    return follows(name, service, each.first);
+    return followsShares(name, service, each.first);
   });
 }
 
-Grants Duties::reserve(const ServiceName& name, const ServiceState& service) {
-  auto& seen = duties_[name].reservedSeenAt;
+Grants Duties::reservedShares(const ServiceName& name, const ServiceState& service) {
+  auto& seen = serviceDuties_[name].reservationsSeen;
   std::erase_if(seen, [&](const auto& each) {
     return !service.reserved.contains(each.first);
   });
@@ -59,7 +59,7 @@
   for (const auto& [node, share] : service.reserved) {
     auto& [at, since] = seen[node];
     if (std::exchange(at, share.at) != share.at || !silent(node)) since = clock_.now();
-    bool released = silent(node) ? overdue(name, node) : followed(name, node) >= share.at;
+    bool released = silent(node) ? reservationExpired(name, node) : followedPosition(name, node) >= share.at;
     if (!released) reserved[node] = share.most;
   }
   for (const auto& [node, branches] : service.grants) {
@@ -72,19 +72,19 @@
   return reserved;
 }
 
-void Duties::noteLiving() {
+void Duties::recordLiveNodes() {
   std::vector<std::pair<Address, std::uint64_t>> living;
   for (const auto& [address, node] : state_.nodes())
     if (!node.draining && !silent(address)) living.emplace_back(address, node.boot);
-  if (std::exchange(living_, living) != living) ++livingChanges_;
+  if (std::exchange(liveNodes_, living) != living) ++liveNodesRevision_;
 }
 
 Duties::SharesInputs Duties::sharesInputs(const ServiceName& name, const ServiceState& service) const {
-  return SharesInputs{access_.sharesInputs(name), livingChanges_, service.sharesAt, state_.plan()->mark};
+  return SharesInputs{access_.sharesInputs(name), liveNodesRevision_, service.sharesAt, state_.plan()->mark};
 }
 
-// few connections of nodes that may come back stay with them until another node is short
-bool Duties::canWait(const ServiceName& name, const ServiceState& service, const Grants& target) const {
+// A few connections of nodes that may come back stay with them until another node is short of connections.
+bool Duties::canPostponeMove(const ServiceName& name, const ServiceState& service, const Grants& target) const {
   if (!service.reserved.empty()) return false;
   if (std::any_of(target.begin(), target.end(), [&](const auto& each) {
         return !service.grants.contains(each.first);
@@ -93,73 +93,73 @@
   std::map<BranchName, std::uint64_t> away;
   for (const auto& [node, branches] : service.grants) {
     if (target.contains(node)) continue;
-    const auto* known = heard(node);
+    const auto* known = reportOf(node);
     if (branches.empty() || !state_.nodes().contains(node) || !known || clock_.now() - known->heardAt > timings_.nodeGone) return false;
     for (const auto& [branch, amount] : branches) away[branch] += amount;
   }
   const auto& branches = state_.plan()->services.at(name).branches;
   return std::all_of(away.begin(), away.end(), [&](const auto& each) {
-    return each.second * fewOfABranch <= branches.at(each.first).connections;
+    return each.second * minorShareDivisor <= branches.at(each.first).connections;
   });
 }
 
-Task<void> Duties::shares(ServiceName name) {
+Task<void> Duties::updateShares(ServiceName name) {
   if (!state_.services().contains(name)) co_return;
   const auto& service = state_.services().at(name);
-  auto& duty = duties_[name];
-  if (clock_.now() < duty.sharesAfter && duty.sharesFor == state_.nodes().size()) co_return;
+  auto& duty = serviceDuties_[name];
+  if (clock_.now() < duty.nextSharesAt && duty.sharesNodeCount == state_.nodes().size()) co_return;
   auto inputs = sharesInputs(name, service);
-  if (service.reserved.empty() && duty.sharesFit == inputs) co_return;
-  if (sharesSpent_ > timings_.dutyShares) {
-    if (!sharesLeftAt_) sharesLeftAt_ = name;
+  if (service.reserved.empty() && duty.unchangedForInputs == inputs) co_return;
+  if (sharesTimeSpent_ > timings_.dutyShares) {
+    if (!sharesResumeAt_) sharesResumeAt_ = name;
     co_return;
   }
   auto began = clock_.now();
-  duty.sharesAfter = clock_.now() + 2 * timings_.duty;
-  duty.sharesFor = state_.nodes().size();
-  Wanted wanted;
-  Weights weights;
+  duty.nextSharesAt = clock_.now() + 2 * timings_.duty;
+  duty.sharesNodeCount = state_.nodes().size();
+  WantedShares wanted;
+  NodeWeights weights;
   for (const auto& [address, node] : state_.nodes()) {
     if (node.draining || silent(address)) continue;
-    const auto* known = heard(address);
+    const auto* known = reportOf(address);
     if (!known) co_return;
     auto own = known->report.services.find(name);
     weights[address] = state_.plan()->weightOf(address);
     wanted[address] = own == known->report.services.end() ? std::map<BranchName, std::uint32_t>{} : own->second.wanted;
   }
-  auto reserved = reserve(name, service);
+  auto reserved = reservedShares(name, service);
   Grants reservedBefore;
   for (const auto& [node, share] : service.reserved) reservedBefore[node] = share.most;
-  auto target = cutShares(without(state_.plan()->services.at(name), reserved), wanted, weights);
-  sharesSpent_ += clock_.now() - began;
+  auto target = allocateShares(withoutReserved(state_.plan()->services.at(name), reserved), wanted, weights);
+  sharesTimeSpent_ += clock_.now() - began;
   if (target == service.grants && reserved == reservedBefore) {
-    duty.sharesFit = inputs;
+    duty.unchangedForInputs = inputs;
     co_return;
   }
-  auto lower = lowered(service.grants, target);
+  auto lower = lowerGrants(service.grants, target);
   for (const auto& [node, share] : service.reserved)
     if (!reserved.contains(node) && target.contains(node) && !lower.contains(node))
-      lower[node] = lowered({{node, share.most}}, target)[node];
+      lower[node] = lowerGrants({{node, share.most}}, target)[node];
   if (lower != service.grants || reserved != reservedBefore) {
     bool nodesChanged = reserved != reservedBefore || target.size() != service.grants.size();
-    bool pressing = nodesChanged && !canWait(name, service, target);
+    bool pressing = nodesChanged && !canPostponeMove(name, service, target);
     for (const auto& [node, branches] : wanted)
       for (const auto& [branch, want] : branches) {
         auto held = service.grants.find(node);
         if (held == service.grants.end() || !held->second.contains(branch)) continue;
         pressing = pressing || (want > held->second.at(branch) && target[node][branch] > held->second.at(branch));
       }
-    if (!pressing && reserved.empty()) duty.sharesFit = inputs;
-    bool early = clock_.now() - duty.sharesMovedAt < timings_.sharesPause;
-    if (!pressing || (early && !(nodesChanged && everyNodeFollows(name, service)))) co_return;
-    duty.sharesMovedAt = clock_.now();
+    if (!pressing && reserved.empty()) duty.unchangedForInputs = inputs;
+    bool early = clock_.now() - duty.sharesChangedAt < timings_.sharesPause;
+    if (!pressing || (early && !(nodesChanged && everyNodeFollowsShares(name, service)))) co_return;
+    duty.sharesChangedAt = clock_.now();
     SharesUpdate update{name, service.sharesAt, lower, reserved};
-    co_await order(ControlMatter::shares, packed(update));
+    co_await propose(ControlMatter::shares, packed(update));
     co_return;
   }
-  if (!everyNodeFollows(name, service)) co_return;
+  if (!everyNodeFollowsShares(name, service)) co_return;
   SharesUpdate update{name, service.sharesAt, target, reserved};
-  co_await order(ControlMatter::shares, packed(update));
+  co_await propose(ControlMatter::shares, packed(update));
 }
 
 }  // namespace tamarindshift
--- a/src/pooler/pooler.cpp
+++ b/src/pooler/pooler.cpp
@@ -281,7 +281,7 @@
   auto before = std::exchange(caredAt_, clock_.now());
   if (caredAt_ - before > stallPause) stalledAt_ = caredAt_;
   guide_.refresh();
-  planVersions_.note(guide_.planMark());
+  planVersions_.observe(guide_.planMark());
   if (guide_.servicesKnown()) leasedAt_ = clock_.now();
   std::set<DatabaseName> known;
   bool routesChanged = false;
@@ -428,7 +428,7 @@
     };
     auto before = sum(left);
     auto now = sum(right);
-    return now <= 2 * before + demandUnit && before <= 2 * now + demandUnit;
+    return now <= 2 * before + demandUnitsPerConnection && before <= 2 * now + demandUnitsPerConnection;
   };
   auto same = [alike](const ServiceReport& left, const ServiceReport& right) {
     bool wants = std::all_of(right.wanted.begin(), right.wanted.end(), [&](const auto& each) {
--- a/src/pooler/pooler_serving.cpp
+++ b/src/pooler/pooler_serving.cpp
@@ -68,7 +68,7 @@
   auto ration = view.rations.find(database);
   if (ration == view.rations.end() || order <= ration->second.freeThrough) return false;
   const auto* shelf = pool_.find(database);
-  return (shelf ? shelf->busyAfter(ration->second.freeThrough) : 0) >= ration->second.laterAt(settings_.node);
+  return (shelf ? shelf->busyAfter(ration->second.freeThrough) : 0) >= ration->second.laterLimitAt(settings_.node);
 }
 
 bool Pooler::anyRationed(const Guide::ServiceView& view, const Demand& demand) const {
@@ -84,7 +84,7 @@
   if (since < leastDemandTime) return;
   for (auto& [name, watch] : watches_) watch.demands.clear();
   auto tenths = [since](Duration ran) {
-    return static_cast<std::uint32_t>((ran.count() * demandUnit + since.count() / 2) / since.count());
+    return static_cast<std::uint32_t>((ran.count() * demandUnitsPerConnection + since.count() / 2) / since.count());
   };
   for (const auto& [name, view] : guide_.services())
     for (const auto& [database, news] : view.databases) {
@@ -99,9 +99,9 @@
     if (!found) continue;
     auto& demands = watches_[found->kind->service].demands;
     if (demand->atPrimary)
-      demands[found->service->primary.primary][demand->order] += demandUnit;
+      demands[found->service->primary.primary][demand->order] += demandUnitsPerConnection;
     else
-      for (const auto& [database, ration] : found->service->rations) demands[database][demand->order] += demandUnit;
+      for (const auto& [database, ration] : found->service->rations) demands[database][demand->order] += demandUnitsPerConnection;
   }
   demandsSince_ = now;
 }
--- a/src/pooler/service_watch.hpp
+++ b/src/pooler/service_watch.hpp
@@ -16,7 +16,7 @@
   Instant leasedAt{};
   std::set<DatabaseName> suspects;
   std::set<DatabaseName> strained;
-  std::map<DatabaseName, OrderedDemand> demands;
+  std::map<DatabaseName, DemandByOrder> demands;
   Freshness freshness;
   Instant workedAt{};
   double demand = 0;
--- a/src/scale/pieces.cpp
+++ b/src/scale/pieces.cpp
@@ -7,7 +7,7 @@
 #include "control/control_state.hpp"
 #include "control/plan_reader.hpp"
 #include "control/service_news.hpp"
-#include "control/share_cut.hpp"
+#include "control/share_allocation.hpp"
 #include "group/group_messages.hpp"
 #include "scale/scale_plan.hpp"
 #include "wire/desk_messages.hpp"
@@ -92,13 +92,13 @@
 
   void shareFigures() {
     auto service = plan_->services.begin()->second;
-    Wanted idle;
+    WantedShares idle;
     for (const auto& [node, weight] : weights_)
       for (const auto& [branch, planned] : service.branches) idle[node][branch] = 1;
     note("share_cut_us", cost([&] {
-           cutShares(service, idle, weights_);
+           allocateShares(service, idle, weights_);
          }));
-    auto grants = cutShares(service, idle, weights_);
+    auto grants = allocateShares(service, idle, weights_);
     std::size_t without = 0;
     for (const auto& [node, branches] : grants)
       for (const auto& [branch, amount] : branches) without += amount == 0;
@@ -248,7 +248,7 @@
   ControlState state_;
   std::string planText_;
   std::optional<Plan> plan_;
-  Weights weights_;
+  NodeWeights weights_;
   std::uint64_t position_ = 0;
   std::size_t lastActionBytes_ = 0;
   PieceFigures figures_;
--- a/tests/given_up_test.cpp
+++ b/tests/abandoned_commits_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool said(const SimulatedFleet& fleet, const std::string& text) {
+bool logged(const SimulatedFleet& fleet, const std::string& text) {
   return std::any_of(fleet.lines().begin(), fleet.lines().end(), [&](const auto& line) {
     return line.find(text) != std::string::npos;
   });
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-TEST_CASE("a service waits for lost databases until a plan without them gives up what they held") {
+TEST_CASE("a service waits for lost databases until a plan without them abandons what they held") {
   FleetShape shape;
   shape.machines = 3;
   CallerKind kind;
@@ -35,13 +35,13 @@
   fleet.crashDatabase(fleet.database(1, 2));
   fleet.run(20s);
   const auto& state = fleet.replicas()[0]->node->state();
-  CHECK(said(fleet, "no database holds all that was acknowledged"));
+  CHECK(logged(fleet, "no database holds all that was acknowledged"));
   CHECK(state.services().at(ServiceName{"s1"}).epoch == Epoch{1});
   StandinPlanChoice choice{2};
   choice.withoutDatabases = {"s1.d1", "s1.d2"};
   fleet.sendPlan(0, 2, fleet.planText(choice), true);
   fleet.run(15s);
-  CHECK(said(fleet, "gives up acknowledged commits"));
+  CHECK(logged(fleet, "abandons acknowledged commits"));
   CHECK(state.services().at(ServiceName{"s1"}).promoted);
   CHECK(state.services().at(ServiceName{"s1"}).primary == DatabaseName{"d3"});
 }
--- a/tests/control_cluster.cpp
+++ b/tests/control_cluster.cpp
@@ -15,17 +15,17 @@
 ControlCluster::ControlCluster(bool rations)
     : world(7),
       network(world),
-      outside(world),
-      databases(outside,
+      testClock(world),
+      databases(testClock,
                 [this](DatabaseHeartbeat heartbeat) {
                   return replica(heartbeat.number % 3).heartbeat(heartbeat);
                 }),
       disks(3),
-      nodeLink(network, outside, Address{"10.1.0.1:1"}),
-      nodeDesk(outside, nodeLink, 1) {
+      nodeLink(network, testClock, Address{"10.1.0.1:1"}),
+      nodeDesk(testClock, nodeLink, 1) {
   for (std::size_t index = 0; index < 3; ++index) {
-    ownClocks.push_back(std::make_unique<SimulatedClock>(world));
-    auto& clock = *ownClocks.back();
+    replicaClocks.push_back(std::make_unique<SimulatedClock>(world));
+    auto& clock = *replicaClocks.back();
     journals.push_back(std::make_unique<SimulatedJournal>("replica", [](const std::string&) {}));
     links.push_back(std::make_unique<SimulatedLink>(network, clock, replicaAddress(index)));
     stores.push_back(std::make_unique<SimulatedStore>(clock, disks[index], 3ms));
@@ -35,32 +35,32 @@
     settings.seeds = {replicaAddress(0), replicaAddress(1), replicaAddress(2)};
     settings.timings.databaseHeartbeat = 1200ms;
     settings.rations = rations;
-    nodes.push_back(
+    replicas.push_back(
         std::make_unique<ReplicaNode>(clock, *links.back(), *stores.back(), databases, *journals.back(), settings, world.incarnation()));
-    REQUIRE_FALSE(nodes.back()->start());
+    REQUIRE_FALSE(replicas.back()->start());
   }
   report.node = Address{"10.1.0.1:1"};
   report.zone = Zone{"z1"};
   report.boot = 5;
-  scope.spawn(reporting());
+  scope.spawn(sendReports());
   run(3s);
 }
 
 ControlCluster::~ControlCluster() {
   scope.clear();
-  nodes.clear();
+  replicas.clear();
 }
 
-Task<void> ControlCluster::reporting() {
+Task<void> ControlCluster::sendReports() {
   for (;;) {
-    if (follows && replica(0).state().services().contains(ServiceName{"s1"})) {
+    if (followsUpdates && replica(0).state().services().contains(ServiceName{"s1"})) {
       auto& own = report.services[ServiceName{"s1"}];
       own.epoch = service().epoch;
       own.followed = replica(0).state().position();
     }
     auto bytes = packed(report);
-    for (std::size_t index = 0; index < 3 && reports; ++index) nodeDesk.tell(replicaAddress(index), "report", bytes);
-    co_await sleep(outside, 50ms);
+    for (std::size_t index = 0; index < 3 && sendsReports; ++index) nodeDesk.tell(replicaAddress(index), "report", bytes);
+    co_await sleep(testClock, 50ms);
   }
 }
 
@@ -70,7 +70,7 @@
   return reached();
 }
 
-DoorReply ControlCluster::ask(Task<DoorReply> task) {
+DoorReply ControlCluster::awaitReply(Task<DoorReply> task) {
   return answered(
       std::move(task),
       [this] {
@@ -79,21 +79,21 @@
       2000);
 }
 
-std::string ControlCluster::discovered(std::uint32_t syncReplicas) const {
+std::string ControlCluster::discoveredService(std::uint32_t syncReplicas) const {
   return nlohmann::json{{"discovery", "heartbeats"},
                         {"sync-replicas", syncReplicas},
                         {"quota", {{"connections", 10}, {"branches", {{"b", {{"connections", 10}}}}}}}}
       .dump();
 }
 
-void ControlCluster::plan(std::uint64_t mark, const std::string& service) {
+void ControlCluster::applyPlan(std::uint64_t mark, const std::string& service) {
   nlohmann::json plan{{"mark", mark}, {"services", {{"s1", nlohmann::json::parse(service)}}}, {"kinds", nlohmann::json::object()}};
-  auto reply = ask(replica(0).replacePlan(plan.dump()));
+  auto reply = awaitReply(replica(0).replacePlan(plan.dump()));
   INFO(reply.body);
   REQUIRE(reply.status == 200);
 }
 
-void ControlCluster::start(const std::string& name, const std::string& role, Position position) {
+void ControlCluster::startDatabase(const std::string& name, const std::string& role, Position position) {
   DatabaseHeartbeat heartbeat;
   heartbeat.service = ServiceName{"s1"};
   heartbeat.database = DatabaseName{name};
@@ -104,7 +104,7 @@
   databases.add(heartbeat, Place{Epoch{3}, position});
 }
 
-std::uint64_t ControlCluster::counted(const std::string& name) {
+std::uint64_t ControlCluster::counterSum(const std::string& name) {
   std::uint64_t sum = 0;
   for (const auto& journal : journals)
     if (auto found = journal->counters().find(name); found != journal->counters().end()) sum += found->second;
--- a/tests/core_model.hpp
+++ b/tests/core_model.hpp
@@ -23,7 +23,7 @@
     bool vulnerableBlocks = true;       ///< ReplicationEngine::isQuorum, vulnerable members
     bool syncBeforeReceipt = true;      ///< ReplicationEngine::received
     bool proofBeforeServing = true;     ///< SequencedGroup::provedAt
-    bool spareBeforeLeave = true;       ///< MemberReplacement::spare
+    bool spareBeforeLeave = true;       ///< MemberReplacement::canSpare
     bool digestOfVersion = true;        ///< VersionLedger::judge
   };
 
--- a/tests/relief_test.cpp
+++ b/tests/degraded_primary_test.cpp
@@ -8,8 +8,8 @@
 
 void crash(DiscoveredCluster& cluster) {
   cluster.databases.at("d1").up = false;
-  cluster.own().working = true;
-  cluster.own().suspects = {DatabaseName{"d1"}};
+  cluster.serviceReport().working = true;
+  cluster.serviceReport().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.service().epoch == Epoch{2};
   }));
@@ -25,10 +25,10 @@
 
 }  // namespace
 
-TEST_CASE("a primary that is strained for a while gives its place to a replica that is not") {
+TEST_CASE("a primary that stays degraded is replaced by a replica that is not") {
   DiscoveredCluster cluster;
-  cluster.own().working = true;
-  cluster.own().strained = {DatabaseName{"d1"}};
+  cluster.serviceReport().working = true;
+  cluster.serviceReport().strained = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(1s, [&] {
     return cluster.service().epoch == Epoch{2};
   }));
@@ -38,16 +38,16 @@
   }));
 }
 
-TEST_CASE("a primary that has just taken over keeps its place until what waited for it is done") {
+TEST_CASE("a primary that was just promoted is not replaced as degraded until the work that waited for it is done") {
   DiscoveredCluster cluster;
-  cluster.follows = false;
+  cluster.followsUpdates = false;
   crash(cluster);
   REQUIRE(cluster.runUntil(5s, [&] {
     return cluster.promoted("d2");
   }));
-  cluster.follows = true;
-  cluster.own().suspects.clear();
-  cluster.own().strained = {DatabaseName{"d2"}};
+  cluster.followsUpdates = true;
+  cluster.serviceReport().suspects.clear();
+  cluster.serviceReport().strained = {DatabaseName{"d2"}};
   CHECK_FALSE(cluster.runUntil(1500ms, [&] {
     return cluster.service().epoch > Epoch{2};
   }));
@@ -56,7 +56,7 @@
   }));
 }
 
-TEST_CASE("while a node is out of reach a primary is replaced for strain only if that lasts as long as the node's lease") {
+TEST_CASE("while a node is unreachable a degraded primary is replaced only if it stays degraded for as long as the node's lease") {
   DiscoveredCluster cluster;
   NodeReport other = cluster.report;
   other.node = Address{"10.1.0.2:1"};
@@ -67,8 +67,8 @@
   }
   REQUIRE(cluster.replica(0).state().nodes().contains(other.node));
   cluster.run(1200ms);
-  cluster.own().working = true;
-  cluster.own().strained = {DatabaseName{"d1"}};
+  cluster.serviceReport().working = true;
+  cluster.serviceReport().strained = {DatabaseName{"d1"}};
   CHECK_FALSE(cluster.runUntil(1500ms, [&] {
     return cluster.service().epoch > Epoch{1};
   }));
@@ -77,9 +77,9 @@
   }));
 }
 
-TEST_CASE("old leases count from when the recovery was green, also if the duties are laid down and taken again") {
+TEST_CASE("old leases are counted from when the recovery was ordered, also if the member on duty loses the duties and takes them again") {
   DiscoveredCluster cluster;
-  cluster.follows = false;
+  cluster.followsUpdates = false;
   crash(cluster);
   auto since = cluster.world.now();
   cluster.run(300ms);
@@ -91,9 +91,9 @@
   CHECK(cluster.world.now() - since < oldLeases + 400ms);
 }
 
-TEST_CASE("old leases count from when the recovery was green, also for another member that takes the duties") {
+TEST_CASE("old leases are counted from when the recovery was ordered, also if another member takes the duties") {
   DiscoveredCluster cluster;
-  cluster.follows = false;
+  cluster.followsUpdates = false;
   crash(cluster);
   auto since = cluster.world.now();
   cluster.run(300ms);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -11,43 +11,43 @@
 
 }  // namespace
 
-TEST_CASE("databases are known by their heartbeats before any plan, and the one that says so is the first primary") {
+TEST_CASE("databases are discovered by their heartbeats before any plan, and the one that reports primary is the first primary") {
   ControlCluster cluster;
-  cluster.start("d1", "replica", Position{90});
-  cluster.start("d2", "primary", Position{100});
+  cluster.startDatabase("d1", "replica", Position{90});
+  cluster.startDatabase("d2", "primary", Position{100});
   cluster.run(2s);
   const auto& state = cluster.replica(0).state();
   CHECK(state.databases(ServiceName{"s1"}).size() == 2);
-  cluster.plan(1, cluster.discovered(0));
+  cluster.applyPlan(1, cluster.discoveredService(0));
   REQUIRE(cluster.runUntil(3s, [&] {
     return cluster.promoted("d2");
   }));
   CHECK(cluster.databases.statusCalls() == 0);
   CHECK(cluster.databases.holders().empty());
   auto green = cluster.replica(0).engine().greenLine();
-  auto shares = cluster.counted("duties.orders_not_held");
+  auto rejected = cluster.counterSum("duties.orders_not_held");
   cluster.run(10s);
   CHECK(cluster.replica(0).engine().greenLine() <= green + 4);
-  CHECK(cluster.counted("duties.orders_not_held") == shares);
+  CHECK(cluster.counterSum("duties.orders_not_held") == rejected);
   CHECK(cluster.databases.statusCalls() == 0);
 }
 
-TEST_CASE("without a heartbeat that says primary the best by STATUS is made one") {
+TEST_CASE("without a heartbeat that reports primary, the database with the highest position by STATUS is promoted") {
   ControlCluster cluster;
-  cluster.start("d1", "replica", Position{90});
-  cluster.start("d2", "replica", Position{100});
-  cluster.plan(1, cluster.discovered(0));
+  cluster.startDatabase("d1", "replica", Position{90});
+  cluster.startDatabase("d2", "replica", Position{100});
+  cluster.applyPlan(1, cluster.discoveredService(0));
   REQUIRE(cluster.runUntil(6s, [&] {
     return cluster.promoted("d2");
   }));
   CHECK(cluster.databases.at("d2").promoteCalls == 1);
 }
 
-TEST_CASE("a database that heartbeats at the address of another takes its place in the list") {
+TEST_CASE("a database that sends heartbeats from the address of another replaces it in the list") {
   Discovered cluster;
   auto address = cluster.enrolled("d3")->address;
   cluster.databases.at("d3").up = false;
-  cluster.start("d9", "replica", Position{0});
+  cluster.startDatabase("d9", "replica", Position{0});
   cluster.databases.at("d9").heartbeat.address = address;
   cluster.databases.tell("d9");
   REQUIRE(cluster.runUntil(2s, [&] {
@@ -57,7 +57,7 @@
   CHECK(cluster.enrolled("d1"));
 }
 
-TEST_CASE("a late heartbeat alters nothing, one with a lower number after three silent seconds does") {
+TEST_CASE("a late heartbeat is ignored, one with a lower number after three silent seconds is not") {
   Discovered cluster;
   auto& own = cluster.databases.at("d2");
   own.silent = true;
@@ -65,32 +65,32 @@
   late.number -= 1;
   late.role = "primary";
   late.leaving = true;
-  CHECK(cluster.ask(cluster.replica(1).heartbeat(late)).status == 200);
+  CHECK(cluster.awaitReply(cluster.replica(1).heartbeat(late)).status == 200);
   CHECK(cluster.replica(1).access().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat.role == "replica");
   cluster.run(4s);
   CHECK_FALSE(cluster.replica(1).state().drained(ServiceName{"s1"}, DatabaseName{"d2"}));
   auto again = own.heartbeat;
   again.number = 1;
   again.position = Position{77};
-  CHECK(cluster.ask(cluster.replica(1).heartbeat(again)).status == 200);
+  CHECK(cluster.awaitReply(cluster.replica(1).heartbeat(again)).status == 200);
   CHECK(cluster.replica(1).access().database(ServiceName{"s1"}, DatabaseName{"d2"})->heartbeat.position == Position{77});
 }
 
-TEST_CASE("a heartbeat that says leaving is answered once the drain is green, a Detach removes the database") {
+TEST_CASE("a heartbeat with leaving set is answered once the drain is ordered, a Detach removes the database") {
   Discovered cluster;
   auto& own = cluster.databases.at("d3");
   own.heartbeat.leaving = true;
   ++own.heartbeat.number;
-  CHECK(cluster.ask(cluster.replica(2).heartbeat(own.heartbeat)).status == 200);
+  CHECK(cluster.awaitReply(cluster.replica(2).heartbeat(own.heartbeat)).status == 200);
   CHECK(cluster.replica(2).state().drained(ServiceName{"s1"}, DatabaseName{"d3"}));
   own.silent = true;
   ++own.heartbeat.number;
-  CHECK(cluster.ask(cluster.replica(1).detach(own.heartbeat)).status == 200);
+  CHECK(cluster.awaitReply(cluster.replica(1).detach(own.heartbeat)).status == 200);
   REQUIRE(cluster.runUntil(2s, [&] {
     return !cluster.enrolled("d3");
   }));
   ++own.heartbeat.number;
-  CHECK(cluster.ask(cluster.replica(1).detach(own.heartbeat)).status == 200);
+  CHECK(cluster.awaitReply(cluster.replica(1).detach(own.heartbeat)).status == 200);
   CHECK_FALSE(cluster.enrolled("d3"));
 }
 
@@ -104,7 +104,7 @@
   auto heartbeat = cluster.databases.at("d3").heartbeat;
   heartbeat.database = DatabaseName{"d7"};
   heartbeat.address = Address{"10.2.0.7:1"};
-  auto reply = cluster.ask(cluster.replica(0).heartbeat(heartbeat));
+  auto reply = cluster.awaitReply(cluster.replica(0).heartbeat(heartbeat));
   CHECK(reply.status == 503);
   CHECK(reply.comeBack);
 }
@@ -122,11 +122,11 @@
   CHECK(cluster.promoted("d1"));
 }
 
-TEST_CASE("nodes that do not reach a crashed primary have it replaced at once, and no lease is waited out") {
+TEST_CASE("a crashed primary that nodes do not reach is replaced at once, without waiting for a lease") {
   Discovered cluster;
   cluster.databases.at("d1").up = false;
-  cluster.own().working = true;
-  cluster.own().suspects = {DatabaseName{"d1"}};
+  cluster.serviceReport().working = true;
+  cluster.serviceReport().suspects = {DatabaseName{"d1"}};
   auto since = cluster.world.now();
   REQUIRE(cluster.runUntil(3s, [&] {
     return cluster.promoted("d2");
@@ -138,17 +138,17 @@
   CHECK(cluster.service().epoch == Epoch{2});
 }
 
-TEST_CASE("nodes that do not reach a primary whose STATUS is well have it kept") {
+TEST_CASE("a primary that nodes do not reach is kept while its STATUS is good") {
   Discovered cluster;
-  cluster.own().working = true;
-  cluster.own().suspects = {DatabaseName{"d1"}};
+  cluster.serviceReport().working = true;
+  cluster.serviceReport().suspects = {DatabaseName{"d1"}};
   cluster.run(20s);
   CHECK(cluster.promoted("d1"));
   CHECK(cluster.service().epoch == Epoch{1});
   CHECK(cluster.databases.statusCalls() <= 22);
 }
 
-TEST_CASE("a crashed primary that no one works at is replaced after its silence") {
+TEST_CASE("a crashed primary without any work is replaced once its heartbeats have been missing for the silence timeout") {
   Discovered cluster;
   cluster.databases.at("d1").dark = true;
   CHECK_FALSE(cluster.runUntil(700ms, [&] {
@@ -159,12 +159,12 @@
   }));
 }
 
-TEST_CASE("a node that has not reported the new epoch costs the lease") {
+TEST_CASE("while a node has not reported the new epoch, the promotion waits for its lease to expire") {
   Discovered cluster;
-  cluster.follows = false;
+  cluster.followsUpdates = false;
   cluster.databases.at("d1").up = false;
-  cluster.own().working = true;
-  cluster.own().suspects = {DatabaseName{"d1"}};
+  cluster.serviceReport().working = true;
+  cluster.serviceReport().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.service().epoch == Epoch{2};
   }));
@@ -175,26 +175,26 @@
   CHECK(cluster.world.now() - since > Timings{}.lease + Timings{}.leaseMargin);
 }
 
-TEST_CASE("a report of another boot than the enrolled one does not count") {
+TEST_CASE("a report with another boot number than the enrolled one does not count") {
   Discovered cluster;
   cluster.databases.at("d1").up = false;
-  cluster.own().working = true;
-  cluster.own().suspects = {DatabaseName{"d1"}};
+  cluster.serviceReport().working = true;
+  cluster.serviceReport().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.service().epoch == Epoch{2};
   }));
   CHECK(cluster.databases.at("d2").promoteCalls == 0);
-  cluster.follows = false;
+  cluster.followsUpdates = false;
   cluster.report.boot = 6;
-  cluster.own().epoch = Epoch{1};
+  cluster.serviceReport().epoch = Epoch{1};
   CHECK_FALSE(cluster.runUntil(1500ms, [&] {
     return cluster.databases.at("d2").promoteCalls > 0;
   }));
 }
 
-TEST_CASE("a planned change lets nodes finish, demotes, and promotes what holds the final position") {
+TEST_CASE("a planned change lets nodes finish, demotes, and promotes a database that has reached the final position") {
   Discovered cluster;
-  cluster.follows = false;
+  cluster.followsUpdates = false;
   auto& former = cluster.databases.at("d1");
   former.heartbeat.leaving = true;
   cluster.databases.tell("d1");
@@ -205,7 +205,7 @@
   cluster.run(600ms);
   CHECK(former.demotedWith.empty());
   former.place.position = Position{120};
-  cluster.follows = true;
+  cluster.followsUpdates = true;
   REQUIRE(cluster.runUntil(1s, [&] {
     return !former.demotedWith.empty();
   }));
@@ -220,13 +220,13 @@
   CHECK(cluster.world.now() - since < 900ms);
 }
 
-TEST_CASE("a chosen database that is refused is left for another, an unanswered call is repeated") {
+TEST_CASE("if the promotion is refused another database is chosen, an unanswered call is repeated") {
   Discovered cluster;
   cluster.databases.at("d2").promotion = PromotionOutcome::refused;
   cluster.databases.at("d3").promotion = PromotionOutcome::unanswered;
   cluster.databases.at("d1").up = false;
-  cluster.own().working = true;
-  cluster.own().suspects = {DatabaseName{"d1"}};
+  cluster.serviceReport().working = true;
+  cluster.serviceReport().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(8s, [&] {
     return cluster.databases.at("d3").promoteCalls >= 2;
   }));
@@ -238,12 +238,12 @@
   CHECK(cluster.service().epoch == Epoch{3});
 }
 
-TEST_CASE("an accepted promotion counts once the database says so itself, or STATUS does") {
+TEST_CASE("an accepted promotion counts once the heartbeat or the STATUS of the database confirms it") {
   Discovered cluster;
   cluster.databases.at("d2").leadsWhenAccepted = false;
   cluster.databases.at("d1").up = false;
-  cluster.own().working = true;
-  cluster.own().suspects = {DatabaseName{"d1"}};
+  cluster.serviceReport().working = true;
+  cluster.serviceReport().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(3s, [&] {
     return cluster.databases.at("d2").promoteCalls > 0;
   }));
@@ -256,11 +256,11 @@
   }));
 }
 
-TEST_CASE("where commits are replicated, the chosen one must hold what was acknowledged") {
+TEST_CASE("where commits are replicated, the chosen database must hold what was acknowledged") {
   Discovered cluster(1);
-  cluster.own().acknowledged = Place{Epoch{3}, Position{99}};
-  cluster.own().working = true;
-  cluster.own().suspects = {DatabaseName{"d1"}};
+  cluster.serviceReport().acknowledged = Place{Epoch{3}, Position{99}};
+  cluster.serviceReport().working = true;
+  cluster.serviceReport().suspects = {DatabaseName{"d1"}};
   cluster.run(200ms);
   cluster.databases.at("d1").up = false;
   CHECK_FALSE(cluster.runUntil(5s, [&] {
@@ -273,11 +273,11 @@
   CHECK(cluster.databases.at("d2").promoteCalls == 0);
 }
 
-TEST_CASE("a round of STATUS serves to choose a database, one to see that it holds what it must, a call to see that it leads") {
+TEST_CASE("STATUS is asked of all to choose a database, of all to check its position, and of it alone to confirm that it is primary") {
   Discovered cluster(1);
-  cluster.own().acknowledged = Place{Epoch{3}, Position{97}};
-  cluster.own().working = true;
-  cluster.own().suspects = {DatabaseName{"d1"}};
+  cluster.serviceReport().acknowledged = Place{Epoch{3}, Position{97}};
+  cluster.serviceReport().working = true;
+  cluster.serviceReport().suspects = {DatabaseName{"d1"}};
   cluster.databases.at("d1").up = false;
   REQUIRE(cluster.runUntil(5s, [&] {
     return cluster.promoted("d2");
@@ -286,7 +286,7 @@
   CHECK(cluster.databases.at("d3").statusCalls == 2);
 }
 
-TEST_CASE("enrolments are in the news and in the snapshot, also of services no plan names") {
+TEST_CASE("enrolments are in the updates and in the snapshot, also for services that no plan names") {
   NewsBoard board;
   ControlState state(board);
   std::uint64_t position = 0;
--- a/tests/duty_proof_test.cpp
+++ b/tests/duty_fencing_test.cpp
@@ -1,4 +1,4 @@
-// A holder of the duties that stood still, or was cut off, tells nobody to act once another member may hold them.
+// A member on duty that was frozen or cut off sends no calls once another member may hold the duties.
 
 #include <algorithm>
 
@@ -11,30 +11,30 @@
 namespace {
 
 struct LostDuty : DiscoveredCluster {
-  // the primary crashes while the platform takes no calls, so that the holder goes on trying
+  // the primary crashes while the platform answers no calls, so that the member on duty goes on trying
   LostDuty() {
-    own().working = true;
+    serviceReport().working = true;
     for (const char* name : {"d2", "d3"}) databases.at(name).promotion = PromotionOutcome::unanswered;
     databases.at("d1").up = false;
     databases.at("d1").silent = true;
-    own().suspects = {DatabaseName{"d1"}};
+    serviceReport().suspects = {DatabaseName{"d1"}};
     REQUIRE(runUntil(5s, [&] {
       return !databases.holders().empty();
     }));
   }
 
-  void platformTakesCalls() {
+  void acceptPromotions() {
     for (const char* name : {"d2", "d3"}) databases.at(name).promotion = PromotionOutcome::accepted;
   }
 
-  void cutFirst(bool apart) {
+  void cutOffFirst(bool apart) {
     for (const char* other : {"10.0.0.2", "10.0.0.3"}) {
       apart ? network.cut("10.0.0.1", other) : network.heal("10.0.0.1", other);
       apart ? network.cut(other, "10.0.0.1") : network.heal(other, "10.0.0.1");
     }
   }
 
-  bool fencesNeverFall() const {
+  bool fencesNeverDecrease() const {
     const auto& calls = databases.holders();
     return std::is_sorted(calls.begin(), calls.end(), [](const auto& one, const auto& next) {
       return one.fence < next.fence;
@@ -51,53 +51,53 @@
 
 }  // namespace
 
-TEST_CASE("a holder of the duties that stood still calls nobody with a lower fence when it wakes") {
+TEST_CASE("a member on duty that was frozen sends no call with a lower fence number when it continues") {
   auto before = GENERATE(0ms, 130ms, 410ms, 900ms);
-  auto still = GENERATE(range(6, 30, 2));
-  CAPTURE(before, still);
+  auto frozenSteps = GENERATE(range(6, 30, 2));
+  CAPTURE(before, frozenSteps);
   LostDuty cluster;
   cluster.run(before);
-  cluster.ownClocks[0]->freeze();
-  cluster.run(still * 100ms);
-  cluster.ownClocks[0]->thaw();
+  cluster.replicaClocks[0]->freeze();
+  cluster.run(frozenSteps * 100ms);
+  cluster.replicaClocks[0]->thaw();
   cluster.run(2s);
-  CHECK(cluster.fencesNeverFall());
-  cluster.platformTakesCalls();
+  CHECK(cluster.fencesNeverDecrease());
+  cluster.acceptPromotions();
   REQUIRE(cluster.runUntil(15s, [&] {
     return cluster.promoted("d2") || cluster.promoted("d3");
   }));
-  CHECK(cluster.fencesNeverFall());
+  CHECK(cluster.fencesNeverDecrease());
 }
 
-TEST_CASE("a holder of the duties that is cut off calls nobody once another member calls") {
+TEST_CASE("a member on duty that is cut off sends no call once another member has sent one") {
   auto before = GENERATE(range(0, 12));
   CAPTURE(before);
   LostDuty cluster;
   cluster.run(before * 90ms);
-  cluster.cutFirst(true);
+  cluster.cutOffFirst(true);
   cluster.run(6s);
   CHECK(cluster.anotherCalled());
-  CHECK(cluster.fencesNeverFall());
-  cluster.cutFirst(false);
-  cluster.platformTakesCalls();
+  CHECK(cluster.fencesNeverDecrease());
+  cluster.cutOffFirst(false);
+  cluster.acceptPromotions();
   REQUIRE(cluster.runUntil(15s, [&] {
     return cluster.promoted("d2") || cluster.promoted("d3");
   }));
-  CHECK(cluster.fencesNeverFall());
+  CHECK(cluster.fencesNeverDecrease());
 }
 
-TEST_CASE("a primary that was promoted while a holder stood still is not demoted by it") {
-  auto still = GENERATE(range(8, 30, 2));
-  CAPTURE(still);
+TEST_CASE("a primary that was promoted while the member on duty was frozen is not demoted by it") {
+  auto frozenSteps = GENERATE(range(8, 30, 2));
+  CAPTURE(frozenSteps);
   LostDuty cluster;
-  cluster.ownClocks[0]->freeze();
+  cluster.replicaClocks[0]->freeze();
   cluster.databases.at("d2").heartbeat.leaving = true;
   cluster.databases.tell("d2");
   cluster.run(300ms);
-  cluster.platformTakesCalls();
-  cluster.run(still * 100ms);
-  cluster.ownClocks[0]->thaw();
+  cluster.acceptPromotions();
+  cluster.run(frozenSteps * 100ms);
+  cluster.replicaClocks[0]->thaw();
   cluster.run(4s);
-  CHECK(cluster.fencesNeverFall());
+  CHECK(cluster.fencesNeverDecrease());
   CHECK(cluster.databases.at("d3").demotedWith.empty());
 }
--- a/tests/engine_cluster.cpp
+++ b/tests/engine_cluster.cpp
@@ -67,8 +67,8 @@
   auto& core = *nodes[index]->core;
   auto deadline = world.now() + 4s;
   while (world.now() < deadline && !MemberReplacement::othersHoldAll(core.engine(), core.own(), losses)) run(25ms);
-  if (leavesWhenSpare && MemberReplacement::spare(core.engine(), core.own(), losses)) core.engine().requestLeave(core.own());
-  while (leavesWhenSpare && world.now() < deadline && MemberReplacement::spare(core.engine(), core.own(), losses)) run(25ms);
+  if (leavesWhenSpare && MemberReplacement::canSpare(core.engine(), core.own(), losses)) core.engine().requestLeave(core.own());
+  while (leavesWhenSpare && world.now() < deadline && MemberReplacement::canSpare(core.engine(), core.own(), losses)) run(25ms);
   core.retire();
   run(200ms);
   kill(index);
--- a/tests/former_primary_test.cpp
+++ b/tests/former_primary_test.cpp
@@ -1,4 +1,5 @@
-// A former primary that goes on saying "primary" is chosen again: its role is not taken for the promotion's effect.
+// Guards against taking the role of a former primary, which goes on reporting "primary" and is chosen again, as the effect of
+// its promotion.
 
 #include <catch2/catch.hpp>
 
@@ -10,10 +11,10 @@
 
 struct FormerPrimary : DiscoveredCluster {
   explicit FormerPrimary(std::uint32_t syncReplicas = 0) : DiscoveredCluster(syncReplicas) {
-    own().working = true;
+    serviceReport().working = true;
     auto& former = databases.at("d1");
     former.dark = true;
-    own().suspects = {DatabaseName{"d1"}};
+    serviceReport().suspects = {DatabaseName{"d1"}};
     REQUIRE(runUntil(5s, [&] {
       return promoted("d2");
     }));
@@ -21,21 +22,21 @@
     for (const char* name : {"d2", "d3"}) databases.at(name).newestTerm = databases.at("d2").place.epoch;
   }
 
-  // the former primary is reached again and still says that it leads, the next one crashes
-  void comesBack() {
+  // the former primary is reachable again and still reports that it is primary; the databases that replaced it crash
+  void reconnectFormer() {
     databases.at("d1").dark = false;
-    own().suspects = {};
+    serviceReport().suspects = {};
     databases.tell("d1");
     run(20ms);
     for (const char* name : {"d2", "d3"}) {
       databases.at(name).up = false;
       databases.at(name).silent = true;
     }
-    own().suspects = {DatabaseName{"d2"}};
+    serviceReport().suspects = {DatabaseName{"d2"}};
   }
 
-  // a heartbeat that says "primary" at every moment, as a former primary's may
-  bool promotedWhileTelling(Duration atMost) {
+  // sends a heartbeat with the role "primary" every 10 ms, as a former primary may
+  bool promotedWhileReportingPrimary(Duration atMost) {
     auto deadline = world.now() + atMost;
     while (world.now() < deadline && !promoted("d1")) {
       auto& former = databases.at("d1");
@@ -49,12 +50,12 @@
 
 }  // namespace
 
-TEST_CASE("a former primary that is chosen again serves only from the term that its promotion begins") {
+TEST_CASE("a former primary that is chosen again serves only from the term that its new promotion begins") {
   auto syncReplicas = GENERATE(0u, 1u);
   CAPTURE(syncReplicas);
   FormerPrimary cluster(syncReplicas);
-  cluster.comesBack();
-  REQUIRE(cluster.promotedWhileTelling(15s));
+  cluster.reconnectFormer();
+  REQUIRE(cluster.promotedWhileReportingPrimary(15s));
   const auto& former = cluster.databases.at("d1");
   CHECK(former.promoteCalls == 1);
   CHECK(former.ledAt > former.promotedAt);
@@ -62,24 +63,24 @@
   CHECK(cluster.service().ledTerm == former.term());
 }
 
-TEST_CASE("a former primary whose promotion has no effect is never taken for the primary") {
+TEST_CASE("a former primary whose promotion has no effect is never confirmed as the primary") {
   FormerPrimary cluster;
   cluster.databases.at("d1").leadsWhenAccepted = false;
-  cluster.comesBack();
-  CHECK_FALSE(cluster.promotedWhileTelling(15s));
+  cluster.reconnectFormer();
+  CHECK_FALSE(cluster.promotedWhileReportingPrimary(15s));
   CHECK(cluster.databases.at("d1").promoteCalls >= 2);
 }
 
-TEST_CASE("a promotion that took effect before the duties changed hands is confirmed without another call") {
+TEST_CASE("a promotion that took effect before another member took the duties is confirmed without another call") {
   DiscoveredCluster cluster;
-  cluster.own().working = true;
+  cluster.serviceReport().working = true;
   cluster.databases.at("d1").up = false;
   cluster.databases.at("d1").silent = true;
-  cluster.own().suspects = {DatabaseName{"d1"}};
+  cluster.serviceReport().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(5s, [&] {
     return cluster.databases.at("d2").promoteCalls > 0;
   }));
-  cluster.ownClocks[0]->freeze();
+  cluster.replicaClocks[0]->freeze();
   CHECK(cluster.runUntil(3s, [&] {
     const auto& service = cluster.replica(1).state().services().at(ServiceName{"s1"});
     return service.promoted && service.primary == DatabaseName{"d2"};
--- a/tests/invariant_checks_test.cpp
+++ b/tests/invariant_checks_test.cpp
@@ -85,15 +85,15 @@
 TEST_CASE("invariants: a fence that falls, or a call by a node without duties, is noticed") {
   CheckTrial trial;
   DutyEpochCheck fences(trial.journal);
-  fences.note(3, true);
-  fences.note(3, true);
-  fences.note(5, true);
+  fences.observe(3, true);
+  fences.observe(3, true);
+  fences.observe(5, true);
   CHECK(trial.violations() == 0);
-  fences.note(4, true);
+  fences.observe(4, true);
   CHECK(trial.violations() == 1);
-  fences.note(5, false);
+  fences.observe(5, false);
   CHECK(trial.violations() == 1);
-  fences.note(5, true);
+  fences.observe(5, true);
   CHECK(trial.violations() == 0);
   CHECK(trial.violated(Invariant::dutyEpochNeverFalls) == 2);
 }
@@ -101,12 +101,12 @@
 TEST_CASE("invariants: a version that goes back is noticed once for each time") {
   CheckTrial trial;
   PlanVersionCheck versions(trial.journal);
-  CHECK_FALSE(versions.note(PlanMark{4}));
-  CHECK(versions.note(PlanMark{4}));
-  CHECK_FALSE(versions.note(PlanMark{9}));
+  CHECK_FALSE(versions.observe(PlanMark{4}));
+  CHECK(versions.observe(PlanMark{4}));
+  CHECK_FALSE(versions.observe(PlanMark{9}));
   CHECK(trial.violations() == 0);
-  versions.note(PlanMark{8});
+  versions.observe(PlanMark{8});
   CHECK(trial.violations() == 1);
-  versions.note(PlanMark{8});
+  versions.observe(PlanMark{8});
   CHECK(trial.violations() == 0);
 }
--- a/tests/large_changes_test.cpp
+++ b/tests/large_changes_test.cpp
@@ -29,7 +29,7 @@
                         {"services", nlohmann::json::object()},
                         {"kinds", nlohmann::json::object()},
                         {"annotation", std::string(configurationBytes, static_cast<char>('a' + mark % 26))}};
-    auto reply = ask(replica(member).replacePlan(plan.dump()));
+    auto reply = awaitReply(replica(member).replacePlan(plan.dump()));
     INFO(reply.body);
     REQUIRE(reply.status == 200);
   }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -5,7 +5,7 @@
 using namespace tamarindshift;
 using namespace tamarindshift::testing;
 
-TEST_CASE("a member that was removed is told so when it comes back, and whites go on without it") {
+TEST_CASE("a removed member learns of its removal when it reconnects, and the white line advances without it") {
   EngineCluster cluster(3, 11);
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(2s);
@@ -36,7 +36,7 @@
   CHECK(cluster.faults.empty());
 }
 
-TEST_CASE("a fourth and a fifth core machine join a running group by the seeds alone") {
+TEST_CASE("a fourth and a fifth core machine join a running group with only the seeds configured") {
   EngineCluster cluster(5, 12);
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(2s);
@@ -63,7 +63,7 @@
   CHECK(cluster.faults.empty());
 }
 
-TEST_CASE("nothing is founded while a seed has not been seen") {
+TEST_CASE("no group is founded before every seed has been seen") {
   EngineCluster cluster(3, 13);
   cluster.start(0);
   cluster.start(1);
@@ -75,7 +75,7 @@
   CHECK(cluster.inPrimary() == 3);
 }
 
-TEST_CASE("outside of a primary component actions wait red up to a bound and are refused past it") {
+TEST_CASE("outside of a primary component actions wait as red up to a bound and are refused above it") {
   EngineCluster cluster(3, 14);
   for (std::size_t index = 0; index < 3; ++index) cluster.start(index);
   cluster.run(2s);
--- a/tests/plan_test.cpp
+++ b/tests/plan_test.cpp
@@ -6,7 +6,7 @@
 
 #include "control/plan_check.hpp"
 #include "control/plan_reader.hpp"
-#include "control/share_cut.hpp"
+#include "control/share_allocation.hpp"
 
 using namespace tamarindshift;
 using Json = nlohmann::json;
@@ -174,11 +174,11 @@
 TEST_CASE("shares never sum past a branch, give the floor first and then by want") {
   PlanService service;
   service.branches[BranchName{"b"}] = PlanBranch{20, 2, 1, {}};
-  Wanted wanted;
+  WantedShares wanted;
   wanted[Address{"a:1"}][BranchName{"b"}] = 30;
   wanted[Address{"b:1"}][BranchName{"b"}] = 3;
   wanted[Address{"c:1"}][BranchName{"b"}] = 0;
-  auto grants = cutShares(service, wanted, {});
+  auto grants = allocateShares(service, wanted, {});
   auto given = [&](const char* node) {
     return grants[Address{node}][BranchName{"b"}];
   };
@@ -187,13 +187,13 @@
   CHECK(given("b:1") == 3);
   CHECK(given("a:1") == 15);
   wanted[Address{"b:1"}][BranchName{"b"}] = 30;
-  grants = cutShares(service, wanted, {{Address{"a:1"}, 2}});
+  grants = allocateShares(service, wanted, {{Address{"a:1"}, 2}});
   CHECK(given("a:1") == 12);
   CHECK(given("b:1") == 6);
   wanted.clear();
   for (int node = 0; node < 25; ++node) wanted[Address{"n" + std::to_string(node) + ":1"}][BranchName{"b"}] = 4;
   std::uint32_t sum = 0;
-  for (const auto& [node, branches] : cutShares(service, wanted, {})) sum += branches.at(BranchName{"b"});
+  for (const auto& [node, branches] : allocateShares(service, wanted, {})) sum += branches.at(BranchName{"b"});
   CHECK(sum == 20);
 }
 
--- a/tests/platform/control_door_test.cpp
+++ b/tests/platform/control_door_test.cpp
@@ -19,7 +19,7 @@
 struct ControlDoors : DiscoveredCluster {
   ControlDoors() {
     for (std::size_t index = 0; index < 3; ++index)
-      doors.push_back(std::make_unique<platform::ControlDoor>(replica(index), *ownClocks[index]));
+      doors.push_back(std::make_unique<platform::ControlDoor>(replica(index), *replicaClocks[index]));
   }
 
   static std::string configuration(std::uint64_t revision, unsigned guard = 800) {
@@ -38,15 +38,17 @@
   Task<DoorReply> call(std::size_t index, const std::string& method, const std::string& path, std::string body = {}) {
     return doors[index]->serve(DoorRequest{method, path, std::move(body), ConnectionId{1}});
   }
-  int replace(std::size_t index, const std::string& body) { return ask(call(index, "POST", "/api/Configuration.Replace", body)).status; }
-  int detach(std::size_t index, const std::string& id) { return ask(call(index, "POST", "/api/Instances.Detach/" + id)).status; }
-  DoorReply retrieve(std::size_t index) { return ask(call(index, "GET", "/api/Configuration.Retrieve")); }
+  int replace(std::size_t index, const std::string& body) {
+    return awaitReply(call(index, "POST", "/api/Configuration.Replace", body)).status;
+  }
+  int detach(std::size_t index, const std::string& id) { return awaitReply(call(index, "POST", "/api/Instances.Detach/" + id)).status; }
+  DoorReply retrieve(std::size_t index) { return awaitReply(call(index, "GET", "/api/Configuration.Retrieve")); }
   int beat(std::size_t index, const std::string& id, std::uint64_t number, const std::string& condition = "in_service") {
     nlohmann::json body{{"targetService", "s1"},  {"address", "10.2.0." + id.substr(1) + ":1"},
                         {"zone", "z1"},           {"capacity", 5},
                         {"condition", condition}, {"callCount", number},
                         {"dbRole", "replica"}};
-    return ask(call(index, "POST", "/api/Instances.Heartbeat/" + id, body.dump())).status;
+    return awaitReply(call(index, "POST", "/api/Instances.Heartbeat/" + id, body.dump())).status;
   }
 
   /// Sends two configurations at the same instant to two members and says which statuses came.
@@ -211,7 +213,7 @@
   auto beat = [&](const std::string& id, const std::string& address, const std::string& zone) {
     nlohmann::json body{{"targetService", "s1"},     {"address", address}, {"zone", zone},       {"capacity", 5},
                         {"condition", "in_service"}, {"callCount", 1},     {"dbRole", "replica"}};
-    return cluster.ask(cluster.call(0, "POST", "/api/Instances.Heartbeat/" + id, body.dump())).status;
+    return cluster.awaitReply(cluster.call(0, "POST", "/api/Instances.Heartbeat/" + id, body.dump())).status;
   };
   CHECK(beat("i-\xff\xfe", "10.2.0.9:1", "z1") == 400);
   CHECK(beat("i 9", "10.2.0.9:1", "z1") == 400);
@@ -219,8 +221,8 @@
   CHECK(beat("i9", "no address", "z1") == 400);
   CHECK(beat("i9", "10.2.0.9:1\r\nX: y", "z1") == 400);
   CHECK(beat("i9", "10.2.0.9:1", std::string(1 << 20, 'z')) == 400);
-  CHECK(cluster.ask(cluster.call(0, "POST", "/api/Instances.Detach/i-\xff")).status == 400);
+  CHECK(cluster.awaitReply(cluster.call(0, "POST", "/api/Instances.Detach/i-\xff")).status == 400);
   cluster.run(1s);
-  CHECK(cluster.ask(cluster.call(0, "GET", "/status")).status == 200);
+  CHECK(cluster.awaitReply(cluster.call(0, "GET", "/status")).status == 200);
   CHECK(beat("i9", "10.2.0.9:1", "z1") == 200);
 }
--- a/tests/platform/soak/soak_run.cpp
+++ b/tests/platform/soak/soak_run.cpp
@@ -288,7 +288,7 @@
     std::ifstream file(machine->logFile);
     for (std::string line; std::getline(file, line);)
       for (const char* sign : {invariantViolated.data(), "ERROR: AddressSanitizer", "runtime error:", "terminate called",
-                               "failed and are done again", requestThrew.data(), sessionThrew.data()})
+                               "failed and will be retried", requestThrew.data(), sessionThrew.data()})
         if (line.find(sign) != std::string::npos) fault(machine->name + ": " + line);
   }
 }
--- a/tests/recovery_removal_test.cpp
+++ b/tests/recovery_removal_test.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-struct Removed : ControlCluster {
-  explicit Removed(std::uint32_t syncReplicas) {
-    start("d1", "primary", Position{100});
-    start("d2", "replica", Position{98});
-    start("d3", "replica", Position{95});
-    plan(1, discovered(syncReplicas));
+struct RemovedService : ControlCluster {
+  explicit RemovedService(std::uint32_t syncReplicas) {
+    startDatabase("d1", "primary", Position{100});
+    startDatabase("d2", "replica", Position{98});
+    startDatabase("d3", "replica", Position{95});
+    applyPlan(1, discoveredService(syncReplicas));
     REQUIRE(runUntil(5s, [&] {
       return promoted("d1");
     }));
@@ -19,7 +19,7 @@
     report.services[ServiceName{"s1"}].working = true;
   }
   void removeService() {
-    auto reply = ask(replica(0).replacePlan(R"({"mark":2,"services":{},"kinds":{}})"));
+    auto reply = awaitReply(replica(0).replacePlan(R"({"mark":2,"services":{},"kinds":{}})"));
     INFO(reply.body);
     REQUIRE(reply.status == 200);
   }
@@ -27,12 +27,12 @@
 
 }  // namespace
 
-TEST_CASE("a plan that removes a service while its databases are asked leaves the duties whole") {
+TEST_CASE("removing a service while its databases are asked for STATUS makes no duty fail") {
   auto syncReplicas = GENERATE(0u, 1u);
   auto planned = GENERATE(false, true);
   auto after = GENERATE(range(0, 18));
   CAPTURE(syncReplicas, planned, after);
-  Removed cluster(syncReplicas);
+  RemovedService cluster(syncReplicas);
   cluster.databases.at("d3").dark = true;
   if (planned) {
     cluster.databases.at("d1").heartbeat.leaving = true;
@@ -51,19 +51,19 @@
   cluster.databases.at("d3").dark = false;
   cluster.databases.at("d2").heartbeat.role = "primary";
   cluster.databases.tell("d2");
-  cluster.plan(3, cluster.discovered(syncReplicas));
+  cluster.applyPlan(3, cluster.discoveredService(syncReplicas));
   CHECK(cluster.runUntil(20s, [&] {
     return cluster.promoted("d2") || cluster.promoted("d3");
   }));
-  CHECK(cluster.counted("duties.failed") == 0);
+  CHECK(cluster.counterSum("duties.failed") == 0);
 }
 
-TEST_CASE("duties that are lost while databases are asked that were never heard are taken up again whole") {
+TEST_CASE("duties that are lost while databases without any heartbeat are asked for STATUS continue when they are taken again") {
   ControlCluster cluster;
-  cluster.start("d1", "primary", Position{100});
-  cluster.start("d3", "replica", Position{95});
+  cluster.startDatabase("d1", "primary", Position{100});
+  cluster.startDatabase("d3", "replica", Position{95});
   cluster.databases.addUnheard("d2");
-  cluster.plan(
+  cluster.applyPlan(
       1,
       R"({"databases":{"d1":{"address":"10.2.0.1:1","cap":10},"d2":{"address":"10.2.0.2:1","cap":10},"d3":{"address":"10.2.0.3:1","cap":10}},
                       "quota":{"connections":10,"branches":{"b":{"connections":10}}}})");
@@ -76,10 +76,10 @@
   auto after = GENERATE(range(0, 24));
   CAPTURE(after);
   cluster.run(1200ms + after * 50ms);
-  auto cut = [&](bool apart) {
+  auto cut = [&](bool cutOff) {
     for (const char* other : {"10.0.0.2", "10.0.0.3"}) {
-      apart ? cluster.network.cut("10.0.0.1", other) : cluster.network.heal("10.0.0.1", other);
-      apart ? cluster.network.cut(other, "10.0.0.1") : cluster.network.heal(other, "10.0.0.1");
+      cutOff ? cluster.network.cut("10.0.0.1", other) : cluster.network.heal("10.0.0.1", other);
+      cutOff ? cluster.network.cut(other, "10.0.0.1") : cluster.network.heal(other, "10.0.0.1");
     }
   };
   cut(true);
@@ -89,5 +89,5 @@
     return cluster.promoted("d3");
   }));
   cluster.run(3s);
-  CHECK(cluster.counted("duties.failed") == 0);
+  CHECK(cluster.counterSum("duties.failed") == 0);
 }
--- a/tests/shares_of_removed_branches_test.cpp
+++ b/tests/shares_of_removed_branches_test.cpp
@@ -21,16 +21,16 @@
 
 }  // namespace
 
-TEST_CASE("shares: what a silent node holds of branches that a plan removes counts until its time is over", "[shares]") {
+TEST_CASE("shares: what a silent node holds of branches that a plan removes counts until the hold time is over", "[shares]") {
   ControlCluster cluster;
-  cluster.plan(1, branches({{"a", 5}, {"b", 5}}));
+  cluster.applyPlan(1, branches({{"a", 5}, {"b", 5}}));
   REQUIRE(cluster.runUntil(10s, [&] {
     return granted(cluster);
   }));
   auto hold = Timings{}.shareHold();
-  cluster.reports = false;
-  SECTION("removed before it was seen to be silent") {
-    cluster.plan(2, branches({{"c", 10}}));
+  cluster.sendsReports = false;
+  SECTION("removed before the node counted as silent") {
+    cluster.applyPlan(2, branches({{"c", 10}}));
     CHECK_FALSE(cluster.runUntil(hold - 500ms, [&] {
       return !cluster.service().holds(node);
     }));
@@ -44,7 +44,7 @@
     }));
     cluster.run(hold - 2s);
     CHECK(cluster.service().holds(node));
-    cluster.plan(2, branches({{"c", 10}}));
+    cluster.applyPlan(2, branches({{"c", 10}}));
     CHECK_FALSE(cluster.runUntil(hold - 500ms, [&] {
       return !cluster.service().holds(node);
     }));
@@ -57,7 +57,7 @@
       return cluster.service().reserved.contains(node);
     }));
     cluster.run(hold - 2s);
-    cluster.plan(2, branches({{"a", 5}, {"c", 5}}));
+    cluster.applyPlan(2, branches({{"a", 5}, {"c", 5}}));
     CHECK_FALSE(cluster.runUntil(hold - 500ms, [&] {
       return !cluster.service().holds(node);
     }));
@@ -69,17 +69,17 @@
 
 TEST_CASE("shares: a plan that takes nothing from a silent node does not hold its share longer", "[shares]") {
   ControlCluster cluster;
-  cluster.plan(1, branches({{"a", 5}, {"b", 5}}));
+  cluster.applyPlan(1, branches({{"a", 5}, {"b", 5}}));
   REQUIRE(cluster.runUntil(10s, [&] {
     return granted(cluster);
   }));
-  cluster.reports = false;
+  cluster.sendsReports = false;
   REQUIRE(cluster.runUntil(6s, [&] {
     return cluster.service().reserved.contains(node);
   }));
   auto hold = Timings{}.shareHold();
   cluster.run(hold - 2s);
-  cluster.plan(2, branches({{"a", 5}, {"b", 5}}));
+  cluster.applyPlan(2, branches({{"a", 5}, {"b", 5}}));
   CHECK(cluster.runUntil(4s, [&] {
     return !cluster.service().holds(node);
   }));
--- a/tests/shares_restart_test.cpp
+++ b/tests/shares_restart_test.cpp
@@ -9,21 +9,21 @@
 const ServiceName serviceName{"s1"};
 const BranchName branch{"b"};
 
-// many nodes besides the one of the cluster, each with a boot of its own
-struct Many : ControlCluster {
-  explicit Many(std::size_t count, std::uint32_t connections = 100) {
+// `count` nodes besides the one of the cluster, each with its own boot number
+struct ManyNodes : ControlCluster {
+  explicit ManyNodes(std::size_t count, std::uint32_t connections = 100) {
     report.services[serviceName].wanted[branch] = 1;
     for (std::size_t index = 0; index < count; ++index) boots[address(index)] = 1;
-    plan(1, R"({"discovery":"heartbeats","quota":{"connections":)" + std::to_string(connections) + R"(,"branches":{"b":{"connections":)" +
-                std::to_string(connections) + "}}}}");
-    start("d1", "primary", Position{100});
-    more.spawn(reportAll());
+    applyPlan(1, R"({"discovery":"heartbeats","quota":{"connections":)" + std::to_string(connections) +
+                     R"(,"branches":{"b":{"connections":)" + std::to_string(connections) + "}}}}");
+    startDatabase("d1", "primary", Position{100});
+    nodeReports.spawn(reportAll());
     REQUIRE(runUntil(20s, [&] {
       return service().grants.size() == boots.size() + 1;
     }));
     run(8s);
   }
-  ~Many() { more.clear(); }
+  ~ManyNodes() { nodeReports.clear(); }
   static Address address(std::size_t index) { return Address{"10.3.0." + std::to_string(index + 1) + ":1"}; }
   Task<void> reportAll() {
     for (;;) {
@@ -38,7 +38,7 @@
         for (std::size_t index = 0; index < 3; ++index)
           nodeDesk.tell(Address{"10.0.0." + std::to_string(index + 1) + ":1"}, "report", bytes);
       }
-      co_await sleep(outside, 100ms);
+      co_await sleep(testClock, 100ms);
     }
   }
   std::uint32_t sum() {
@@ -52,16 +52,16 @@
   std::map<Address, std::uint32_t> wanted;
   std::set<Address> silent;
   std::set<Address> draining;
-  TaskScope more;
+  TaskScope nodeReports;
 };
 
 }  // namespace
 
-TEST_CASE("a restart of one of many nodes is one action and moves no share") {
-  Many cluster(30);
+TEST_CASE("a restart of one of many nodes takes one action and changes no share") {
+  ManyNodes cluster(30);
   auto green = cluster.green();
   auto grants = cluster.service().grants;
-  auto node = Many::address(7);
+  auto node = ManyNodes::address(7);
   cluster.silent.insert(node);
   cluster.run(4s);
   cluster.silent.clear();
@@ -72,12 +72,12 @@
   CHECK(cluster.replica(0).state().nodes().at(node).boot == 2);
 }
 
-TEST_CASE("what a silent node of many holds moves when another is short, or after 15 s") {
+TEST_CASE("the share of one silent node of many moves when another node is short of connections, or after 15 s") {
   for (bool isShort : {true, false}) {
     CAPTURE(isShort);
-    Many cluster(30, 62);
-    auto node = Many::address(7);
-    auto other = Many::address(3);
+    ManyNodes cluster(30, 62);
+    auto node = ManyNodes::address(7);
+    auto other = ManyNodes::address(3);
     auto before = cluster.service().grants.at(other).at(branch);
     cluster.silent.insert(node);
     cluster.run(4s);
@@ -95,9 +95,9 @@
   }
 }
 
-TEST_CASE("what a silent node of few holds moves at once") {
-  Many cluster(3, 40);
-  auto node = Many::address(1);
+TEST_CASE("the share of one silent node of few moves at once") {
+  ManyNodes cluster(3, 40);
+  auto node = ManyNodes::address(1);
   cluster.silent.insert(node);
   CHECK(cluster.runUntil(4s, [&] {
     return !cluster.service().grants.contains(node);
@@ -106,9 +106,9 @@
   CHECK(cluster.sum() <= 40);
 }
 
-TEST_CASE("shares of a node that is short move although nothing else changes") {
-  Many cluster(10, 40);
-  auto node = Many::address(2);
+TEST_CASE("a node that is short of connections gets more although nothing else changes") {
+  ManyNodes cluster(10, 40);
+  auto node = ManyNodes::address(2);
   auto before = cluster.service().grants.at(node).at(branch);
   cluster.run(5s);
   cluster.wanted[node] = before + 5;
