--- a/src/control/duties.hpp
+++ b/src/control/duties.hpp
@@ -19,17 +19,17 @@
 /// removes nodes and databases.
 ///
 /// Every replica runs a `Duties`, but only the one on duty acts. What it decides takes effect as an action that is proposed
-/// to the replication engine; calls to databases and to the platform are made only while no other member can be on duty.
+/// to the replication engine; calls that promote or demote a database are made only while no other member can be on duty.
 class Duties {
  public:
   /// `losses`: machines that may be lost at once, 0 keeps absent members in the group. `rationing`: whether rations are used.
   Duties(Clock& clock, Journal& journal, const Timings& timings, ReplicationEngine& engine, const ControlState& state, AccessTables& access,
          DatabaseControl& databases, ServerId own, std::size_t losses, bool rationing);
 
-  /// Whether this member holds the duties: it is the first member of the present configuration, which is a primary component.
+  /// Whether this member holds the duties: it is the first server of the current configuration, which is a primary component.
   bool onDuty() const;
-  /// Whether no other member can hold the duties by now, so that a call to a database or to the platform may change something.
-  /// The others form a view without this member only once they have not heard from it for the suspicion time.
+  /// Whether no other member can hold the duties by now, so that a database may be promoted or demoted.
+  /// The others form a view without this member only once they have had no contact with it for the suspicion time.
   bool isSoleDutyHolder() const;
   /// Starts the next pass early. To be called when something arrived that a duty may wait for.
   void wake() { wake_.open(); }
@@ -39,7 +39,7 @@
   std::vector<Address> nodesBehindOnShares(const ServiceName& name) const;
   /// Nodes that have no share of a service, each with the reason.
   std::map<Address, std::string> nodesWithoutShare(const ServiceName& name) const;
-  /// Why a database gets no work, or less than it could; empty if nothing holds.
+  /// Why a database gets no work, or less than it could; empty if there is no such reason.
   std::vector<std::string> unusedReasons(const ServiceName& name, const DatabaseName& database) const;
 
  private:
@@ -54,6 +54,7 @@
   /// What this member knows of a service since it took the duties.
   struct ServiceDuty {
     Epoch epoch;
+    /// When this member first handled the service in this epoch, and when in any epoch.
     Instant epochSeenAt{};
     Instant firstSeenAt{};
     /// When the former primary first answered a demote call as a replica.
@@ -149,8 +150,10 @@
                                                               std::optional<DatabaseStanding> standing);
   Task<void> demote(ServiceName name, DatabaseName former);
   Task<void> demoteStrayPrimaries(ServiceName name);
+  /// Asks a database for its STATUS; nothing if it does not answer within `timeout`.
   Task<std::optional<DatabaseStanding>> queryStatus(ServiceName name, DatabaseName database, Duration timeout);
   Task<void> pollDatabase(ServiceName name, DatabaseName database, std::shared_ptr<StatusPoll> poll);
+  /// Databases that may become primary; of a discovered service, silent, suspected and degraded ones only if there are no others.
   std::vector<DatabaseName> candidates(const ServiceName& name, const std::optional<DatabaseName>& excluded) const;
   Task<std::shared_ptr<StatusPoll>> pollStatus(ServiceName name, std::set<DatabaseName> databases);
   std::optional<Candidate> bestCandidate(const ServiceName& name, const std::vector<DatabaseName>& among, const StatusPoll& poll);
@@ -175,7 +178,9 @@
   Task<void> removeLostDatabases();
   Task<void> drainLeavingDatabases(ServiceName name);
   Task<void> readmitReturnedDatabases(ServiceName name);
+  /// Why a node may have acknowledged commits that it has not reported; nothing if every node has reported.
   std::optional<std::string> unreportedNodeReason(const ServiceName& name) const;
+  /// Whether contact with a database was lost later than `databaseOut` before the last contact with the former primary.
   bool lostWithPrimary(const ServiceName& name, const DatabaseName& database) const;
   const AccessTables::Node* reportOf(const Address& node) const;
   bool reportIsRecent(const AccessTables::Node& node) const { return clock_.now() - node.heardAt <= timings_.nodeSilence; }
@@ -204,10 +209,12 @@
   bool reportsPrimary(const ServiceName& name, const DatabaseName& database) const;
   bool discovered(const ServiceName& name) const;
   bool keepsAcknowledged(const ServiceName& name) const;
+  /// Whether this member is on duty and the promotion of this epoch is not confirmed yet.
   bool promotionPending(const ServiceName& name, Epoch epoch) const;
   void recordTerm(const ServiceName& name, Epoch term);
   /// The position that the chosen database must have reached before it is promoted.
   Place requiredPosition(const ServiceName& name, const ServiceState& service) const;
+  /// Whether a silent node has had `shareHold` to stop using its reserved connections.
   bool reservationExpired(const ServiceName& name, const Address& node) const;
   /// Connections that silent or leaving nodes may still use and that no other node may get yet.
   Grants reservedShares(const ServiceName& name, const ServiceState& service);
