--- a/src/control/duties.cpp
+++ b/src/control/duties.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+// Who is on duty, and the passes of the member that is.
+
 namespace tamarindshift {
 
 Duties::Duties(Clock& clock, Journal& journal, const Timings& timings, ReplicationEngine& engine, const ControlState& state,
--- a/src/control/duty_status.cpp
+++ b/src/control/duty_status.cpp
@@ -2,6 +2,8 @@
 
 #include "control/duties.hpp"
 
+// Explanations for /status: why nodes have no share and why databases get no work.
+
 namespace tamarindshift {
 
 std::vector<Address> Duties::nodesBehindOnShares(const ServiceName& name) const {
--- a/src/control/ration_duties.cpp
+++ b/src/control/ration_duties.cpp
@@ -3,6 +3,8 @@
 #include "control/duties.hpp"
 #include "control/ration_allocation.hpp"
 
+// Rations crowded databases and ends their rations once all demands fit.
+
 namespace tamarindshift {
 
 namespace {
--- a/src/control/recovery_duties.cpp
+++ b/src/control/recovery_duties.cpp
@@ -2,6 +2,8 @@
 
 #include "control/duties.hpp"
 
+// What is done for each service at every pass, watching its primary, and the checks that recovery and promotion rest on.
+
 namespace tamarindshift {
 
 Task<void> Duties::superviseOnce(ServiceName name) {
@@ -284,9 +286,9 @@
 Task<bool> Duties::propose(ControlMatter matter, std::string body) {
   ControlUpdate update{matter, engine_.primComponent().primIndex, std::move(body)};
   auto outcome = co_await engine_.order(packed(update), clock_.now() + timings_.orderPatience);
-  bool held = outcome.fate == OrderFate::green && outcome.reply == "held";
-  if (!held) journal_.count("duties.orders_not_held");
-  co_return held;
+  bool applied = outcome.fate == OrderFate::green && outcome.reply == "held";
+  if (!applied) journal_.count("duties.orders_not_held");
+  co_return applied;
 }
 
 }  // namespace tamarindshift
--- a/src/control/share_duties.cpp
+++ b/src/control/share_duties.cpp
@@ -90,19 +90,21 @@
         return !service.grants.contains(each.first);
       }))
     return false;
-  std::map<BranchName, std::uint64_t> away;
+  std::map<BranchName, std::uint64_t> affected;
   for (const auto& [node, branches] : service.grants) {
     if (target.contains(node)) continue;
     const auto* known = reportOf(node);
     if (branches.empty() || !state_.nodes().contains(node) || !known || clock_.now() - known->heardAt > timings_.nodeGone) return false;
-    for (const auto& [branch, amount] : branches) away[branch] += amount;
+    for (const auto& [branch, amount] : branches) affected[branch] += amount;
   }
   const auto& branches = state_.plan()->services.at(name).branches;
-  return std::all_of(away.begin(), away.end(), [&](const auto& each) {
+  return std::all_of(affected.begin(), affected.end(), [&](const auto& each) {
     return each.second * minorShareDivisor <= branches.at(each.first).connections;
   });
 }
 
+// Changes shares in two steps: first shares are lowered to the new division, and only once every node follows that are the
+// others raised, so that no branch is exceeded in between.
 Task<void> Duties::updateShares(ServiceName name) {
   if (!state_.services().contains(name)) co_return;
   const auto& service = state_.services().at(name);
@@ -142,16 +144,16 @@
       lower[node] = lowerGrants({{node, share.most}}, target)[node];
   if (lower != service.grants || reserved != reservedBefore) {
     bool nodesChanged = reserved != reservedBefore || target.size() != service.grants.size();
-    bool pressing = nodesChanged && !canPostponeMove(name, service, target);
+    bool urgent = nodesChanged && !canPostponeMove(name, service, target);
     for (const auto& [node, branches] : wanted)
       for (const auto& [branch, want] : branches) {
         auto held = service.grants.find(node);
         if (held == service.grants.end() || !held->second.contains(branch)) continue;
-        pressing = pressing || (want > held->second.at(branch) && target[node][branch] > held->second.at(branch));
+        urgent = urgent || (want > held->second.at(branch) && target[node][branch] > held->second.at(branch));
       }
-    if (!pressing && reserved.empty()) duty.unchangedForInputs = inputs;
-    bool early = clock_.now() - duty.sharesChangedAt < timings_.sharesPause;
-    if (!pressing || (early && !(nodesChanged && everyNodeFollowsShares(name, service)))) co_return;
+    if (!urgent && reserved.empty()) duty.unchangedForInputs = inputs;
+    bool tooEarly = clock_.now() - duty.sharesChangedAt < timings_.sharesPause;
+    if (!urgent || (tooEarly && !(nodesChanged && everyNodeFollowsShares(name, service)))) co_return;
     duty.sharesChangedAt = clock_.now();
     SharesUpdate update{name, service.sharesAt, lower, reserved};
     co_await propose(ControlMatter::shares, packed(update));
