--- a/src/control/recovery_duties.cpp
+++ b/src/control/recovery_duties.cpp
@@ -286,7 +286,7 @@
 Task<bool> Duties::propose(ControlMatter matter, std::string body) {
   ControlUpdate update{matter, engine_.primComponent().primIndex, std::move(body)};
   auto outcome = co_await engine_.order(packed(update), clock_.now() + timings_.orderPatience);
-  bool applied = outcome.fate == OrderFate::green && outcome.reply == "held";
+  bool applied = outcome.status == OrderStatus::green && outcome.reply == "held";
   if (!applied) journal_.count("duties.orders_not_held");
   co_return applied;
 }
--- a/tests/awaited_commits_test.cpp
+++ b/tests/awaited_commits_test.cpp
@@ -13,21 +13,21 @@
 struct LostPrimary : DiscoveredCluster {
   explicit LostPrimary(Position acknowledged = Position{100}) : DiscoveredCluster(1) {
     serviceReport().working = true;
-    databases.at("d2").place.position = Position{100};
+    databases.at("d2").logPosition.position = Position{100};
     serviceReport().acknowledged = Place{Epoch{3}, acknowledged};
     run(200ms);
   }
 
   void reportLeaving(const std::string& name) {
     databases.at(name).heartbeat.leaving = true;
-    databases.tell(name);
+    databases.sendHeartbeat(name);
     run(500ms);
     REQUIRE(replica(0).state().drained(ServiceName{"s1"}, DatabaseName{name}));
   }
 
   void stopDatabase(const std::string& name) {
     databases.at(name).up = false;
-    databases.at(name).silent = true;
+    databases.at(name).heartbeatsStopped = true;
   }
 
   void losePrimary() {
@@ -73,9 +73,9 @@
   LostPrimary cluster;
   if (leavesBeforeLoss) cluster.reportLeaving("d2");
   if (!leavesBeforeLoss) {
-    cluster.databases.at("d2").dark = true;
+    cluster.databases.at("d2").unresponsive = true;
     cluster.losePrimary();
-    cluster.databases.at("d2").dark = false;
+    cluster.databases.at("d2").unresponsive = false;
     cluster.reportLeaving("d2");
   } else {
     cluster.losePrimary();
@@ -97,13 +97,13 @@
   auto silentFor = GENERATE(3s, 12s, 40s);
   CAPTURE(silentFor.count());
   LostPrimary cluster;
-  cluster.databases.at("d2").dark = true;
+  cluster.databases.at("d2").unresponsive = true;
   cluster.serviceReport().suspects = {DatabaseName{"d2"}};
   cluster.run(6s);
   cluster.losePrimary();
   cluster.run(silentFor);
   CHECK(cluster.databases.at("d3").promoteCalls == 0);
-  cluster.databases.at("d2").dark = false;
+  cluster.databases.at("d2").unresponsive = false;
   REQUIRE(cluster.runUntil(10s, [&] {
     return cluster.promoted("d2");
   }));
@@ -130,13 +130,13 @@
   CAPTURE(silentFor.count());
   LostPrimary cluster(Position{95});
   // its heartbeats are lost, but it goes on receiving what the primary commits
-  cluster.databases.at("d2").silent = true;
+  cluster.databases.at("d2").heartbeatsStopped = true;
   cluster.run(12s);
   cluster.sendsReports = false;
   cluster.stopDatabase("d1");
   cluster.run(silentFor);
   CHECK(cluster.databases.at("d3").promoteCalls == 0);
-  cluster.databases.at("d2").silent = false;
+  cluster.databases.at("d2").heartbeatsStopped = false;
   REQUIRE(cluster.runUntil(15s, [&] {
     return cluster.databases.at("d2").promoteCalls > 0;
   }));
@@ -147,7 +147,7 @@
   auto darkFor = GENERATE(2s, 5s);
   CAPTURE(darkFor.count());
   LostPrimary cluster(Position{95});
-  cluster.databases.at("d2").dark = true;
+  cluster.databases.at("d2").unresponsive = true;
   cluster.databases.at("d3").promotion = PromotionOutcome::unanswered;
   cluster.stopDatabase("d1");
   cluster.serviceReport().suspects = {DatabaseName{"d1"}, DatabaseName{"d2"}};
@@ -157,7 +157,7 @@
   cluster.serviceReport().acknowledged = Place{Epoch{3}, Position{100}};
   cluster.run(darkFor);
   auto callsBefore = cluster.databases.at("d3").promoteCalls;
-  cluster.databases.at("d2").dark = false;
+  cluster.databases.at("d2").unresponsive = false;
   cluster.startAtAddress("d8", "10.2.0.1:1", "s2");
   REQUIRE(cluster.runUntil(20s, [&] {
     return cluster.promoted("d2");
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -49,7 +49,7 @@
   cluster.databases.at("d3").up = false;
   cluster.startDatabase("d9", "replica", Position{0});
   cluster.databases.at("d9").heartbeat.address = address;
-  cluster.databases.tell("d9");
+  cluster.databases.sendHeartbeat("d9");
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.enrolled("d9") && cluster.enrolled("d9")->address == address;
   }));
@@ -60,7 +60,7 @@
 TEST_CASE("a late heartbeat is ignored, one with a lower number after three silent seconds is not") {
   Discovered cluster;
   auto& own = cluster.databases.at("d2");
-  own.silent = true;
+  own.heartbeatsStopped = true;
   auto late = own.heartbeat;
   late.number -= 1;
   late.role = "primary";
@@ -83,7 +83,7 @@
   ++own.heartbeat.number;
   CHECK(cluster.awaitReply(cluster.replica(2).heartbeat(own.heartbeat)).status == 200);
   CHECK(cluster.replica(2).state().drained(ServiceName{"s1"}, DatabaseName{"d3"}));
-  own.silent = true;
+  own.heartbeatsStopped = true;
   ++own.heartbeat.number;
   CHECK(cluster.awaitReply(cluster.replica(1).detach(own.heartbeat)).status == 200);
   REQUIRE(cluster.runUntil(2s, [&] {
@@ -111,12 +111,12 @@
 
 TEST_CASE("a database silent for a minute is removed, the primary is not") {
   Discovered cluster;
-  cluster.databases.at("d3").silent = true;
+  cluster.databases.at("d3").heartbeatsStopped = true;
   cluster.run(50s);
   CHECK(cluster.enrolled("d3"));
   cluster.run(15s);
   CHECK_FALSE(cluster.enrolled("d3"));
-  cluster.databases.at("d1").silent = true;
+  cluster.databases.at("d1").heartbeatsStopped = true;
   cluster.run(70s);
   CHECK(cluster.enrolled("d1"));
   CHECK(cluster.promoted("d1"));
@@ -150,7 +150,7 @@
 
 TEST_CASE("a crashed primary without any work is replaced once its heartbeats have been missing for the silence timeout") {
   Discovered cluster;
-  cluster.databases.at("d1").dark = true;
+  cluster.databases.at("d1").unresponsive = true;
   CHECK_FALSE(cluster.runUntil(700ms, [&] {
     return !cluster.promoted("d1");
   }));
@@ -197,14 +197,14 @@
   cluster.followsUpdates = false;
   auto& former = cluster.databases.at("d1");
   former.heartbeat.leaving = true;
-  cluster.databases.tell("d1");
+  cluster.databases.sendHeartbeat("d1");
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.service().epoch == Epoch{2};
   }));
   CHECK(cluster.service().planned);
   cluster.run(600ms);
   CHECK(former.demotedWith.empty());
-  former.place.position = Position{120};
+  former.logPosition.position = Position{120};
   cluster.followsUpdates = true;
   REQUIRE(cluster.runUntil(1s, [&] {
     return !former.demotedWith.empty();
@@ -212,7 +212,7 @@
   CHECK(former.demotedWith.front() == Epoch{4});
   cluster.run(400ms);
   CHECK(cluster.databases.at("d2").promoteCalls == 0);
-  cluster.databases.at("d2").place.position = Position{120};
+  cluster.databases.at("d2").logPosition.position = Position{120};
   auto since = cluster.world.now();
   REQUIRE(cluster.runUntil(2s, [&] {
     return cluster.promoted("d2");
@@ -240,7 +240,7 @@
 
 TEST_CASE("an accepted promotion counts once the heartbeat or the STATUS of the database confirms it") {
   Discovered cluster;
-  cluster.databases.at("d2").leadsWhenAccepted = false;
+  cluster.databases.at("d2").promotesWhenAccepted = false;
   cluster.databases.at("d1").up = false;
   cluster.serviceReport().working = true;
   cluster.serviceReport().suspects = {DatabaseName{"d1"}};
@@ -249,7 +249,7 @@
   }));
   cluster.run(2s);
   CHECK_FALSE(cluster.service().promoted);
-  cluster.databases.at("d2").silent = true;
+  cluster.databases.at("d2").heartbeatsStopped = true;
   cluster.databases.at("d2").heartbeat.role = "primary";
   REQUIRE(cluster.runUntil(3s, [&] {
     return cluster.promoted("d2");
@@ -266,7 +266,7 @@
   CHECK_FALSE(cluster.runUntil(5s, [&] {
     return cluster.databases.at("d2").promoteCalls + cluster.databases.at("d3").promoteCalls > 0;
   }));
-  cluster.databases.at("d3").place.position = Position{99};
+  cluster.databases.at("d3").logPosition.position = Position{99};
   REQUIRE(cluster.runUntil(8s, [&] {
     return cluster.promoted("d3");
   }));
--- a/tests/former_primary_test.cpp
+++ b/tests/former_primary_test.cpp
@@ -13,24 +13,24 @@
   explicit FormerPrimary(std::uint32_t syncReplicas = 0) : DiscoveredCluster(syncReplicas) {
     serviceReport().working = true;
     auto& former = databases.at("d1");
-    former.dark = true;
+    former.unresponsive = true;
     serviceReport().suspects = {DatabaseName{"d1"}};
     REQUIRE(runUntil(5s, [&] {
       return promoted("d2");
     }));
     run(1s);
-    for (const char* name : {"d2", "d3"}) databases.at(name).newestTerm = databases.at("d2").place.epoch;
+    for (const char* name : {"d2", "d3"}) databases.at(name).newestTerm = databases.at("d2").logPosition.epoch;
   }
 
   // the former primary is reachable again and still reports that it is primary; the databases that replaced it crash
   void reconnectFormer() {
-    databases.at("d1").dark = false;
+    databases.at("d1").unresponsive = false;
     serviceReport().suspects = {};
-    databases.tell("d1");
+    databases.sendHeartbeat("d1");
     run(20ms);
     for (const char* name : {"d2", "d3"}) {
       databases.at(name).up = false;
-      databases.at(name).silent = true;
+      databases.at(name).heartbeatsStopped = true;
     }
     serviceReport().suspects = {DatabaseName{"d2"}};
   }
@@ -41,7 +41,7 @@
     while (world.now() < deadline && !promoted("d1")) {
       auto& former = databases.at("d1");
       former.heartbeat.role = "primary";
-      databases.tell("d1");
+      databases.sendHeartbeat("d1");
       run(10ms);
     }
     return promoted("d1");
@@ -58,14 +58,14 @@
   REQUIRE(cluster.promotedWhileReportingPrimary(15s));
   const auto& former = cluster.databases.at("d1");
   CHECK(former.promoteCalls == 1);
-  CHECK(former.ledAt > former.promotedAt);
+  CHECK(former.becamePrimaryAt > former.promotedAt);
   CHECK(former.term() > cluster.databases.at("d2").term());
   CHECK(cluster.service().ledTerm == former.term());
 }
 
 TEST_CASE("a former primary whose promotion has no effect is never confirmed as the primary") {
   FormerPrimary cluster;
-  cluster.databases.at("d1").leadsWhenAccepted = false;
+  cluster.databases.at("d1").promotesWhenAccepted = false;
   cluster.reconnectFormer();
   CHECK_FALSE(cluster.promotedWhileReportingPrimary(15s));
   CHECK(cluster.databases.at("d1").promoteCalls >= 2);
@@ -75,7 +75,7 @@
   DiscoveredCluster cluster;
   cluster.serviceReport().working = true;
   cluster.databases.at("d1").up = false;
-  cluster.databases.at("d1").silent = true;
+  cluster.databases.at("d1").heartbeatsStopped = true;
   cluster.serviceReport().suspects = {DatabaseName{"d1"}};
   REQUIRE(cluster.runUntil(5s, [&] {
     return cluster.databases.at("d2").promoteCalls > 0;
--- a/tests/rationing_test.cpp
+++ b/tests/rationing_test.cpp
@@ -163,7 +163,7 @@
   }));
   cluster.startDatabase("d9", "replica", Position{0});
   cluster.databases.at("d9").heartbeat.address = Address{"10.2.0.1:1"};
-  cluster.databases.tell("d9");
+  cluster.databases.sendHeartbeat("d9");
   REQUIRE(cluster.runUntil(3s, [&] {
     return !cluster.replica(0).state().enrolled(s1, d1);
   }));
