--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -192,7 +192,7 @@
 
 std::string ControlState::applyDrainOrReturn(const DatabaseCommand& command, bool drain) {
   bool leavesForGood = drain && command.detached && !hasListedDatabases(command.service);
-  if (leavesForGood) departed_.note(command.database, position_);
+  if (leavesForGood) departed_.add(command.database, position_);
   auto service = command.service.get().empty() ? serviceOf(command.database).value_or(command.service) : command.service;
   if (!databases(service).contains(command.database)) return leavesForGood ? "held" : "no such database";
   auto& state = services_.contains(service) ? services_.at(service) : retired_[service];
--- a/src/control/replica_node.cpp
+++ b/src/control/replica_node.cpp
@@ -130,8 +130,8 @@
   const auto& own = core_.serverId();
   while (clock_.now() < deadline && (ordersInProgress_ > 0 || !MemberReplacement::othersHoldAll(engine(), own, settings_.toleratedLosses)))
     co_await sleep(clock_, pause);
-  if (MemberReplacement::spare(engine(), own, settings_.toleratedLosses)) engine().requestLeave(own);
-  while (clock_.now() < deadline && MemberReplacement::spare(engine(), own, settings_.toleratedLosses)) co_await sleep(clock_, pause);
+  if (MemberReplacement::canSpare(engine(), own, settings_.toleratedLosses)) engine().requestLeave(own);
+  while (clock_.now() < deadline && MemberReplacement::canSpare(engine(), own, settings_.toleratedLosses)) co_await sleep(clock_, pause);
   core_.retire();
   handedOverAt_ = clock_.now();
 }
--- a/src/control/report_messages.hpp
+++ b/src/control/report_messages.hpp
@@ -24,7 +24,7 @@
   /// Databases that the node reaches but finds overloaded.
   std::set<DatabaseName> strained;
   /// Demand on each database since the last report, by the order (precedence) of the work.
-  std::map<DatabaseName, OrderedDemand> demands;
+  std::map<DatabaseName, DemandByOrder> demands;
   bool operator==(const ServiceReport&) const = default;
   MSGPACK_DEFINE(appliedPosition, epoch, acknowledged, connectionDemand, suspects, hasRecentWork, strained, demands)
 };
--- a/src/pooler/pooler.cpp
+++ b/src/pooler/pooler.cpp
@@ -283,7 +283,7 @@
   auto before = std::exchange(supervisedAt_, clock_.now());
   if (supervisedAt_ - before > stallThreshold) stalledAt_ = supervisedAt_;
   guide_.refresh();
-  planVersions_.note(guide_.planMark());
+  planVersions_.observe(guide_.planMark());
   if (guide_.servicesKnown()) lastLeasedAt_ = clock_.now();
   std::set<DatabaseName> known;
   bool routesChanged = false;
@@ -433,7 +433,7 @@
     };
     auto before = sum(left);
     auto now = sum(right);
-    return now <= 2 * before + demandUnit && before <= 2 * now + demandUnit;
+    return now <= 2 * before + demandUnitsPerConnection && before <= 2 * now + demandUnitsPerConnection;
   };
   auto same = [similarLoad](const ServiceReport& left, const ServiceReport& right) {
     bool wants = std::all_of(right.connectionDemand.begin(), right.connectionDemand.end(), [&](const auto& each) {
--- a/src/pooler/pooler_serving.cpp
+++ b/src/pooler/pooler_serving.cpp
@@ -69,7 +69,7 @@
   auto ration = view.rations.find(database);
   if (ration == view.rations.end() || order <= ration->second.freeThrough) return false;
   const auto* databasePool = pool_.find(database);
-  return (databasePool ? databasePool->busyAboveOrder(ration->second.freeThrough) : 0) >= ration->second.laterAt(settings_.node);
+  return (databasePool ? databasePool->busyAboveOrder(ration->second.freeThrough) : 0) >= ration->second.laterLimitAt(settings_.node);
 }
 
 bool Pooler::anyRationed(const ServiceDirectory::ServiceView& view, const ConnectionRequest& request) const {
@@ -85,7 +85,7 @@
   if (since < minDemandWindow) return;
   for (auto& [name, tracker] : trackers_) tracker.demands.clear();
   auto tenths = [since](Duration runTime) {
-    return static_cast<std::uint32_t>((runTime.count() * demandUnit + since.count() / 2) / since.count());
+    return static_cast<std::uint32_t>((runTime.count() * demandUnitsPerConnection + since.count() / 2) / since.count());
   };
   for (const auto& [name, view] : guide_.services())
     for (const auto& [database, info] : view.databases) {
@@ -100,9 +100,9 @@
     if (!found) continue;
     auto& demands = trackers_[found->kind->service].demands;
     if (request->atPrimary)
-      demands[found->service->primary.primary][request->order] += demandUnit;
+      demands[found->service->primary.primary][request->order] += demandUnitsPerConnection;
     else
-      for (const auto& [database, ration] : found->service->rations) demands[database][request->order] += demandUnit;
+      for (const auto& [database, ration] : found->service->rations) demands[database][request->order] += demandUnitsPerConnection;
   }
   demandMeasuredAt_ = now;
 }
--- a/src/pooler/service_tracker.hpp
+++ b/src/pooler/service_tracker.hpp
@@ -16,7 +16,7 @@
   Instant lastLeasedAt{};
   std::set<DatabaseName> suspects;
   std::set<DatabaseName> strained;
-  std::map<DatabaseName, OrderedDemand> demands;
+  std::map<DatabaseName, DemandByOrder> demands;
   PrimaryPositionHistory primaryPositions;
   Instant lastWorkAt{};
   double connectionDemand = 0;
--- a/tests/core_model.hpp
+++ b/tests/core_model.hpp
@@ -23,7 +23,7 @@
     bool vulnerableBlocks = true;           ///< ReplicationEngine::isQuorum, vulnerable members
     bool syncBeforeAcknowledgement = true;  ///< ReplicationEngine::received
     bool confirmationBeforeServing = true;  ///< SequencedGroup::viewConfirmedAt
-    bool spareBeforeLeave = true;           ///< MemberReplacement::spare
+    bool spareBeforeLeave = true;           ///< MemberReplacement::canSpare
     bool digestOfVersion = true;            ///< PlanVersionHistory::verdict
   };
 
--- a/tests/engine_cluster.cpp
+++ b/tests/engine_cluster.cpp
@@ -67,9 +67,10 @@
   auto& core = *nodes[index]->core;
   auto deadline = world.now() + 4s;
   while (world.now() < deadline && !MemberReplacement::othersHoldAll(core.engine(), core.serverId(), toleratedLosses)) run(25ms);
-  if (leavesWhenSpare && MemberReplacement::spare(core.engine(), core.serverId(), toleratedLosses))
+  if (leavesWhenSpare && MemberReplacement::canSpare(core.engine(), core.serverId(), toleratedLosses))
     core.engine().requestLeave(core.serverId());
-  while (leavesWhenSpare && world.now() < deadline && MemberReplacement::spare(core.engine(), core.serverId(), toleratedLosses)) run(25ms);
+  while (leavesWhenSpare && world.now() < deadline && MemberReplacement::canSpare(core.engine(), core.serverId(), toleratedLosses))
+    run(25ms);
   core.retire();
   run(200ms);
   kill(index);
--- a/tests/invariant_checks_test.cpp
+++ b/tests/invariant_checks_test.cpp
@@ -85,15 +85,15 @@
 TEST_CASE("invariants: a fencing token that falls, or a call by a node that is not on duty, is reported") {
   JournalFixture trial;
   DutyEpochCheck tokens(trial.journal);
-  tokens.note(3, true);
-  tokens.note(3, true);
-  tokens.note(5, true);
+  tokens.observe(3, true);
+  tokens.observe(3, true);
+  tokens.observe(5, true);
   CHECK(trial.violations() == 0);
-  tokens.note(4, true);
+  tokens.observe(4, true);
   CHECK(trial.violations() == 1);
-  tokens.note(5, false);
+  tokens.observe(5, false);
   CHECK(trial.violations() == 1);
-  tokens.note(5, true);
+  tokens.observe(5, true);
   CHECK(trial.violations() == 0);
   CHECK(trial.violated(Invariant::dutyEpochNeverFalls) == 2);
 }
@@ -101,12 +101,12 @@
 TEST_CASE("invariants: a plan version that goes back is reported once for each time") {
   JournalFixture trial;
   PlanVersionCheck versions(trial.journal);
-  CHECK_FALSE(versions.note(PlanVersion{4}));
-  CHECK(versions.note(PlanVersion{4}));
-  CHECK_FALSE(versions.note(PlanVersion{9}));
+  CHECK_FALSE(versions.observe(PlanVersion{4}));
+  CHECK(versions.observe(PlanVersion{4}));
+  CHECK_FALSE(versions.observe(PlanVersion{9}));
   CHECK(trial.violations() == 0);
-  versions.note(PlanVersion{8});
+  versions.observe(PlanVersion{8});
   CHECK(trial.violations() == 1);
-  versions.note(PlanVersion{8});
+  versions.observe(PlanVersion{8});
   CHECK(trial.violations() == 0);
 }
