--- a/src/pooler/back_end_pool.cpp
+++ b/src/pooler/back_end_pool.cpp
@@ -7,9 +7,13 @@
 
 namespace {
 
+/// Replies that the baseline latency of a database is learnt from.
 constexpr std::uint32_t baselineReplies = 40;
+/// Least time between the two checks that find a database silent.
 constexpr Duration silenceConfirmation = 40ms;
+/// The statistics of a database decay after this time without contact.
 constexpr Duration decayAfter = 1s;
+/// The mean latency decays towards this value, low enough for the database to get reads again.
 constexpr double decayTargetMicros = 1000;
 constexpr Duration decayInterval = 100ms;
 
@@ -31,6 +35,7 @@
     journal_.count("pool.stale");
     return true;
   });
+  // statements needed to match the session's state; a connection with unknown state comes last
   auto stateDistance = [&](const std::shared_ptr<PooledBackEnd>& connection) {
     if (connection->stateUnknown) return 4;
     int steps = 0;
@@ -200,6 +205,7 @@
   if (databasePool.replies < baselineReplies) {
     ++databasePool.replies;
     databasePool.baselineLatencyMicros += (micros - databasePool.baselineLatencyMicros) / databasePool.replies;
+    // not while the database is slow, so that a slow period does not become the baseline
   } else if (databasePool.meanLatencyMicros < 2 * databasePool.baselineLatencyMicros) {
     databasePool.baselineLatencyMicros += (micros - databasePool.baselineLatencyMicros) * 0.005;
   }
@@ -223,7 +229,7 @@
 
 void BackEndPool::markSuspected(const DatabaseName& database) {
   auto& databasePool = databasePools_[database];
-  if (!databasePool.suspected) journal_.line("database " + database.get() + " is suspected");
+  if (!databasePool.suspected) journal_.line("database " + database.get() + ": suspected, no reply or no connection");
   databasePool.suspected = true;
   databasePool.lastProbeAt = clock_.now();
   closeIdle(database);
--- a/src/pooler/connection_request_queue.hpp
+++ b/src/pooler/connection_request_queue.hpp
@@ -1,3 +1,4 @@
+/// Queue of the requests that wait for a connection.
 #pragma once
 
 #include <map>
@@ -8,14 +9,16 @@
 
 namespace tamarindshift {
 
-// demands in the order they are served: precedence first, then arrival
+/// Ordered by precedence, then by arrival.
 class ConnectionRequestQueue {
  public:
   using Request = std::shared_ptr<ConnectionRequest>;
 
   void add(const Request& request);
+  /// Both remove the request from the queue and wake the task that waits for it.
   void grant(const Request& request, std::shared_ptr<PooledBackEnd> connection);
   void refuse(const Request& request, StatementFault fault, std::string reason);
+  /// A copy in queue order, so that requests may be granted or refused while it is walked.
   std::vector<Request> waiting() const;
   std::size_t size() const { return waiting_.size(); }
   bool empty() const { return waiting_.empty(); }
--- a/src/pooler/failure_log.cpp
+++ b/src/pooler/failure_log.cpp
@@ -67,7 +67,7 @@
   return subject + " " + std::string{faultName(fault)} + ": " + reason;
 }
 
-// what clients and databases send may be long and may be no text
+// input from clients and databases may be long and may contain bytes that are not text
 void FailureLog::makePrintable(FailedStatement& failed) {
   for (auto* text : {&failed.trace.id, &failed.host, &failed.reason}) *text = printable(*text, maxTextBytes);
 }
@@ -77,10 +77,10 @@
   Cause cause{failed.trace.service, failed.fault, failed.reason};
   if (totals_.size() >= maxCauses && !totals_.contains(cause)) std::get<std::string>(cause) = "one of many other reasons";
   ++totals_[cause];
-  auto [episode, fresh] = episodes_.try_emplace(cause);
-  if (fresh) {
+  auto [episode, inserted] = episodes_.try_emplace(cause);
+  if (inserted) {
     episode->second.firstAt = failed.at;
-    journal_.line("statements fail, " + describe(cause));
+    journal_.line("statements failing: " + describe(cause));
   }
   episode->second.lastAt = failed.at;
   ++episode->second.failures;
@@ -92,8 +92,8 @@
   std::erase_if(episodes_, [&](const auto& each) {
     const auto& episode = each.second;
     if (now - episode.lastAt < episodeGap) return false;
-    auto lasted = milliseconds(episode.lastAt - episode.firstAt).count();
-    journal_.line(std::to_string(episode.failures) + " statements failed in " + std::to_string(lasted) + " ms, " + describe(each.first));
+    auto lastedMs = milliseconds(episode.lastAt - episode.firstAt).count();
+    journal_.line(std::to_string(episode.failures) + " statements failed in " + std::to_string(lastedMs) + " ms: " + describe(each.first));
     return true;
   });
 }
--- a/src/pooler/failure_log.hpp
+++ b/src/pooler/failure_log.hpp
@@ -1,3 +1,4 @@
+/// Record of failed statements, from which an operator learns afterwards why one failed.
 #pragma once
 
 #include <deque>
@@ -13,39 +14,44 @@
 
 namespace tamarindshift {
 
-/// A statement that was not served, with what its node knew at that moment.
+/// A statement that was refused or failed, with the state of its node at that moment.
 struct FailedStatement {
   Instant at{};
   std::string host;
   StatementTrace trace;
   StatementFault fault = StatementFault::none;
   std::string reason;
+  /// From the arrival of the statement to its reply.
   Duration elapsed{};
+  /// The primary and epoch that the node knew.
   DatabaseName primary;
   Epoch epoch;
+  /// Zero if there was no lease.
   Duration leaseLeft{};
-  /// What kept the service from serving, as the status page words it.
+  /// Why the service was not available at its primary, in the words of the status page.
   std::vector<std::string> unavailabilityReasons;
 };
 
-/// The word for a fault in logs, metrics and the list of failures.
+/// The name of a fault in logs, metrics and the list of failures.
 std::string_view faultName(StatementFault fault);
 
-/// Tells afterwards why single statements failed: the last ones whole, all of them as sums, and the time in which a
-/// service kept failing for one cause as two log lines.
+/// Keeps the last failures in full and counts all of them by cause. A period in which a service keeps failing for one cause
+/// is logged as two lines, one at its start and one at its end.
 class FailureLog {
  public:
   using Cause = std::tuple<ServiceName, StatementFault, std::string>;
 
   explicit FailureLog(Journal& journal) : journal_(journal) {}
   void record(FailedStatement failed);
-  /// Ends the episodes in which nothing failed for a while.
+  /// Logs the end of the periods of failure in which nothing has failed for `episodeGap`; to be called regularly.
   void endQuietEpisodes(Instant now);
-  /// The newest failures first; only those of `id` if that is not empty.
+  /// The kept failures, newest first; only those of the statement `id` unless it is empty.
   nlohmann::json json(Instant now, const std::string& id) const;
+  /// Failures since the start, by cause.
   const std::map<Cause, std::uint64_t>& totals() const { return totals_; }
 
  private:
+  /// A period of failures with one cause.
   struct Episode {
     Instant firstAt{};
     Instant lastAt{};
@@ -53,10 +59,11 @@
   };
 
   static constexpr std::size_t maxKept = 256;
-  /// Causes told apart; what databases say in their own words must not grow this without end.
+  /// Bound of the causes counted separately, since the reasons that databases give are free text.
   static constexpr std::size_t maxCauses = 128;
+  /// A period ends after this time without a failure.
   static constexpr Duration episodeGap = 1s;
-  /// Bytes kept of an id, a host name or a reason.
+  /// Bound of an id, a host name and a reason.
   static constexpr std::size_t maxTextBytes = 256;
 
   static std::string describe(const Cause& cause);
--- a/src/pooler/pooler.cpp
+++ b/src/pooler/pooler.cpp
@@ -117,7 +117,7 @@
 void Pooler::drain() {
   if (drainingSince_) return;
   drainingSince_ = clock_.now();
-  journal_.line("leaves");
+  journal_.line("draining: not ready from now on, serving for " + std::to_string(milliseconds(settings_.drainServingTime).count()) + " ms");
 }
 
 bool Pooler::closing() const {
@@ -135,10 +135,10 @@
          elapsedSince(guide_.coreRepliedAt()) > 2 * settings_.cutOffAfter;
 }
 
-// a process that starts, or stood still, has had no time to hear of a lease
-Duration Pooler::elapsedSince(Instant leasedAt) const {
+// a process that has just started, or was stalled, has had no time to receive a lease
+Duration Pooler::elapsedSince(Instant instant) const {
   if (stalledSince(clock_.now())) return Duration::zero();
-  return clock_.now() - std::max({leasedAt, startedAt_, stalledAt_});
+  return clock_.now() - std::max({instant, startedAt_, stalledAt_});
 }
 
 bool Pooler::leaseLapsedLong(const ServiceName& service) const {
@@ -347,6 +347,7 @@
     for (const auto& [database, databasePool] : pool_.databasePools())
       for (const auto& connection : databasePool.busy)
         if (connection->target.service == name && connection->asPrimary && connection->epoch < tracker.observedEpoch) runs = true;
+    // after a planned change, transactions between statements go first and running statements get twice the grace period
     if (runs && now >= tracker.finishUntil)
       for (const auto& [database, info] : view.databases)
         pool_.closeBusy(database, true, tracker.observedEpoch,
@@ -356,28 +357,29 @@
       requestReport();
     }
   }
-  bool within = true;
+  bool withinLimit = true;
   for (const auto& [database, info] : view.databases) {
     auto& databasePool = pool_.forDatabase(database);
     pool_.trim(database, connectionLimit(name, view));
-    within = within && databasePool.total() <= connectionLimit(name, view);
+    withinLimit = withinLimit && databasePool.total() <= connectionLimit(name, view);
+    // a suspected database is probed with a new connection; a successful one clears the suspicion
     if (leased && databasePool.suspected && now - databasePool.lastProbeAt > 500ms &&
         pool_.canOpen(database, connectionLimit(name, view))) {
       databasePool.lastProbeAt = now;
       DatabaseTarget target{name, database, info.address};
       pool_.open(target, 400ms);
     }
-    bool told =
+    bool alreadyReported =
         tracker.suspects.contains(database) == databasePool.suspected && tracker.strained.contains(database) == databasePool.strained();
-    if (told) continue;
-    auto mark = [&database](std::set<DatabaseName>& marked, bool is) {
-      is ? void(marked.insert(database)) : void(marked.erase(database));
+    if (alreadyReported) continue;
+    auto update = [&database](std::set<DatabaseName>& databases, bool listed) {
+      listed ? void(databases.insert(database)) : void(databases.erase(database));
     };
-    mark(tracker.suspects, databasePool.suspected);
-    mark(tracker.strained, databasePool.strained());
+    update(tracker.suspects, databasePool.suspected);
+    update(tracker.strained, databasePool.strained());
     requestReport();
   }
-  if (within) tracker.appliedMark = view.mark;
+  if (withinLimit) tracker.appliedMark = view.mark;
 }
 
 void Pooler::requestReport() {
@@ -397,21 +399,22 @@
   for (const auto& [name, view] : guide_.services()) {
     if (!view.plan) continue;
     auto& tracker = trackers_[name];
-    auto& own = report.services[name];
-    own.followed = tracker.appliedMark;
-    own.epoch = tracker.confirmedEpoch;
-    if (view.plan->service.keepsAcknowledged()) own.acknowledged = tracker.acknowledgedPosition;
-    own.suspects = tracker.suspects;
-    own.strained = tracker.strained;
-    own.demands = tracker.demands;
-    own.working = now - tracker.lastWorkAt < 1s;
-    std::size_t held = 0;
+    auto& serviceReport = report.services[name];
+    serviceReport.followed = tracker.appliedMark;
+    serviceReport.epoch = tracker.confirmedEpoch;
+    if (view.plan->service.keepsAcknowledged()) serviceReport.acknowledged = tracker.acknowledgedPosition;
+    serviceReport.suspects = tracker.suspects;
+    serviceReport.strained = tracker.strained;
+    serviceReport.demands = tracker.demands;
+    serviceReport.working = now - tracker.lastWorkAt < 1s;
+    std::size_t busy = 0;
     for (const auto& [database, info] : view.databases)
-      if (const auto* databasePool = pool_.find(database)) held = std::max(held, databasePool->busy.size());
-    tracker.connectionDemand = std::max(static_cast<double>(held), tracker.connectionDemand * 0.9);
+      if (const auto* databasePool = pool_.find(database)) busy = std::max(busy, databasePool->busy.size());
+    // a peak that decays by a tenth with each report
+    tracker.connectionDemand = std::max(static_cast<double>(busy), tracker.connectionDemand * 0.9);
     if (auto until = guide_.leaseUntil(name)) report.lease = std::max(report.lease, *until - now);
     for (const auto& [branch, planned] : view.plan->service.branches)
-      own.wanted[branch] = closing() ? 0 : static_cast<std::uint32_t>(tracker.connectionDemand + 1.5);
+      serviceReport.wanted[branch] = closing() ? 0 : static_cast<std::uint32_t>(tracker.connectionDemand + 1.5);
   }
   return report;
 }
@@ -435,20 +438,20 @@
     auto now = sum(right);
     return now <= 2 * before + demandUnit && before <= 2 * now + demandUnit;
   };
-  auto same = [similarLoad](const ServiceReport& left, const ServiceReport& right) {
-    bool wants = std::all_of(right.wanted.begin(), right.wanted.end(), [&](const auto& each) {
+  auto unchanged = [similarLoad](const ServiceReport& left, const ServiceReport& right) {
+    bool similarDemand = std::all_of(right.wanted.begin(), right.wanted.end(), [&](const auto& each) {
       auto before = left.wanted.find(each.first);
       return before != left.wanted.end() && each.second <= before->second + 1 && before->second <= each.second + 2;
     });
-    return wants && similarLoad(left.demands, right.demands) &&
+    return similarDemand && similarLoad(left.demands, right.demands) &&
            std::tie(left.epoch, left.followed, left.acknowledged, left.suspects, left.strained, left.working) ==
                std::tie(right.epoch, right.followed, right.acknowledged, right.suspects, right.strained, right.working);
   };
   std::erase_if(report.services, [&](const auto& each) {
     auto before = lastReported_.find(each.first);
-    return before != lastReported_.end() && same(before->second, each.second);
+    return before != lastReported_.end() && unchanged(before->second, each.second);
   });
-  for (const auto& [name, own] : report.services) lastReported_[name] = own;
+  for (const auto& [name, serviceReport] : report.services) lastReported_[name] = serviceReport;
   return report;
 }
 
--- a/src/pooler/pooler_checks.cpp
+++ b/src/pooler/pooler_checks.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// Work of clients, as against what the pooler lays on a connection or takes back from it.
+/// Whether it is the client's own work, as opposed to session state that the pooler sets on a connection or removes from it.
 bool clientWork(StatementKind kind) {
   switch (kind) {
     case StatementKind::begin:
@@ -20,6 +20,7 @@
   }
 }
 
+/// Unless the reply says that the database did not run it.
 bool mayHaveRun(const BackEndReply& reply) {
   if (reply.outcome != BackEndOutcome::replied) return reply.outcome == BackEndOutcome::lost;
   switch (reply.fault) {
--- a/src/pooler/pooler_serving.cpp
+++ b/src/pooler/pooler_serving.cpp
@@ -51,6 +51,7 @@
   for (const auto& database : databases)
     if (pool_.forDatabase(database).busy.size() < connectionLimit(service, view))
       if (auto idle = pool_.takeIdle(database, *request->session, request->neededName, request->neededPrepared)) return grant(idle);
+  // a request either counts on a connection that is being opened for no other one, or opens one
   for (const auto& database : databases) {
     auto& claimed = claimedOpens_[database];
     if (claimed < pool_.forDatabase(database).opening) {
@@ -78,7 +79,7 @@
   });
 }
 
-// Running connections are a mean over the time since the last look; waiting work is what waits now.
+// Running work is averaged over the time since the last measurement; waiting work is counted as of now.
 void Pooler::measureDemand() {
   auto now = clock_.now();
   auto since = now - demandMeasuredAt_;
@@ -131,6 +132,8 @@
     return chosen;
   }
   auto now = clock_.now();
+  // Lower is better: an estimate of the time that the database takes plus penalties for another zone, for
+  // errors and for the primary. The last two additions put databases that lag or have failed before behind all others.
   std::vector<std::pair<double, DatabaseName>> scored;
   for (const auto& [database, info] : view.databases) {
     if (!usable(database) || (database == primary && !primaryServes)) continue;
@@ -163,6 +166,7 @@
   request->atPrimary = atPrimary;
   request->arrivedAt = arrived;
   request->requestedAt = clock_.now();
+  // waiting for a connection takes at most 45 % of the statement's timeout
   request->waitUntil = std::min(deadline, arrived + statementTimeout(kind) * 45 / 100);
   request->avoid = std::move(avoid);
   if (executes) {
@@ -219,15 +223,15 @@
   const auto* databasePool = pool_.find(connection->target.database);
   if (usual == usualLatencyMicros_.end() || !databasePool) return statementTimeout(kind);
   auto expected = 8 * std::max(usual->second, databasePool->meanLatencyMicros);
-  auto least = settings_.minAttemptTimeout;
-  if (auto found = routeNamed(kind); found && found->kind->aim) least = std::max<Duration>(least, *found->kind->aim / 2);
-  return std::max(least, Duration{static_cast<Duration::rep>(expected)}) * (1 << std::min(attempt, 4));
+  auto minimum = settings_.minAttemptTimeout;
+  if (auto found = routeNamed(kind); found && found->kind->aim) minimum = std::max<Duration>(minimum, *found->kind->aim / 2);
+  return std::max(minimum, Duration{static_cast<Duration::rep>(expected)}) * (1 << std::min(attempt, 4));
 }
 
 void Pooler::noteLatency(const KindName& kind, Duration latency) {
   auto micros = static_cast<double>(latency.count());
-  auto [usual, fresh] = usualLatencyMicros_.try_emplace(kind, micros);
-  if (!fresh) usual->second += (micros - usual->second) * 0.05;
+  auto [usual, inserted] = usualLatencyMicros_.try_emplace(kind, micros);
+  if (!inserted) usual->second += (micros - usual->second) * 0.05;
 }
 
 Task<BackEndReply> Pooler::runOn(ClientSession* session, Connection connection, Statement statement, std::optional<Place> minPosition,
@@ -236,7 +240,7 @@
   checkSending(session, connection, statement);
   const auto& target = connection->target;
   const auto* view = guide_.service(target.service);
-  bool leadsNow = view && guide_.leased(target.service) && view->primary.promoted && view->primary.primary == target.database;
+  bool isPrimary = view && guide_.leased(target.service) && view->primary.promoted && view->primary.primary == target.database;
   connection->running = true;
   connection->usedAt = askedAt;
   bool durable = session && makesDurable(*session, statement);
@@ -254,15 +258,17 @@
     auto& databasePool = pool_.forDatabase(target.database);
     if (reply.logPosition) databasePool.logPosition = std::max(databasePool.logPosition, *reply.logPosition);
     if (reply.fault == StatementFault::behind) databasePool.behindUntil = clock_.now() + 150ms;
-    if (leadsNow && reply.logPosition && reply.fault != StatementFault::readOnly)
+    if (isPrimary && reply.logPosition && reply.fault != StatementFault::readOnly)
       trackers_[target.service].primaryPositions.record(askedAt, *reply.logPosition);
   } else if (connection->dropped) {
     pool_.drop(connection);
   } else if (reply.outcome == BackEndOutcome::lost && clock_.now() >= deadline) {
     pool_.noteTimeout(target.database);
   } else if (reply.outcome == BackEndOutcome::lost && guide_.leased(target.service)) {
-    const auto* now = guide_.service(target.service);
-    if (now && pool_.forDatabase(target.database).opening == 0 && pool_.canOpen(target.database, connectionLimit(target.service, *now)))
+    // replace the lost connection
+    const auto* current = guide_.service(target.service);
+    if (current && pool_.forDatabase(target.database).opening == 0 &&
+        pool_.canOpen(target.database, connectionLimit(target.service, *current)))
       pool_.open(target, settings_.suspicionTimeout);
   }
   co_return reply;
@@ -270,24 +276,25 @@
 
 Task<bool> Pooler::applySessionState(Session session, Connection connection, const Statement* executes, Instant deadline) {
   std::vector<Statement> steps;
-  bool extra = std::any_of(connection->values.begin(), connection->values.end(), [&](const auto& each) {
+  // a variable can't be unset by itself, so one that the session does not have takes a RESET
+  bool hasExtraValues = std::any_of(connection->values.begin(), connection->values.end(), [&](const auto& each) {
     return !session->values.contains(each.first);
   });
-  if (extra || connection->stateUnknown) {
+  if (hasExtraValues || connection->stateUnknown) {
     connection->values.clear();
     connection->prepared.clear();
     connection->stateUnknown = true;
     steps.push_back(Statement{StatementKind::reset, {}, {}, {}, {}});
   }
   for (const auto& [name, value] : session->values)
-    if (auto held = connection->values.find(name); held == connection->values.end() || held->second != value)
+    if (auto existing = connection->values.find(name); existing == connection->values.end() || existing->second != value)
       steps.push_back(Statement{StatementKind::set, {}, {}, name, value});
   if (executes) {
     const auto& wanted = session->prepared.at(executes->name);
-    auto held = connection->prepared.find(executes->name);
-    if (held != connection->prepared.end() && held->second != wanted)
+    auto existing = connection->prepared.find(executes->name);
+    if (existing != connection->prepared.end() && existing->second != wanted)
       steps.push_back(Statement{StatementKind::discard, {}, {}, executes->name, {}});
-    if (held == connection->prepared.end() || held->second != wanted)
+    if (existing == connection->prepared.end() || existing->second != wanted)
       steps.push_back(
           Statement{wanted.writes ? StatementKind::prepareWrite : StatementKind::prepareRead, {}, {}, executes->name, wanted.shape});
   }
--- a/src/pooler/pooler_status.cpp
+++ b/src/pooler/pooler_status.cpp
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::json;
 
-std::vector<std::string> unused(const BackEndPool::DatabasePool& databasePool, Instant now) {
+std::vector<std::string> unusedReasons(const BackEndPool::DatabasePool& databasePool, Instant now) {
   std::vector<std::string> reasons;
   if (databasePool.suspected) reasons.push_back("suspected");
   if (databasePool.strained()) reasons.push_back("strained");
@@ -35,13 +35,14 @@
   };
   std::map<std::uint32_t, Precedence> queue;
   for (const auto& request : requests_.waiting()) {
-    auto& own = queue[request->order];
-    ++own.length;
-    own.longestWait = std::max(own.longestWait, now - request->arrivedAt);
+    auto& precedence = queue[request->order];
+    ++precedence.length;
+    precedence.longestWait = std::max(precedence.longestWait, now - request->arrivedAt);
   }
   json["queue"] = Json::object();
-  for (const auto& [order, own] : queue)
-    json["queue"][std::to_string(order)] = {{"length", own.length}, {"longest_wait_ms", milliseconds(own.longestWait).count()}};
+  for (const auto& [order, precedence] : queue)
+    json["queue"][std::to_string(order)] = {{"length", precedence.length},
+                                            {"longest_wait_ms", milliseconds(precedence.longestWait).count()}};
   json["services"] = Json::object();
   for (const auto& [name, view] : guide_.services()) json["services"][name.get()] = serviceStatus(name, view);
   return json;
@@ -70,17 +71,17 @@
 Json Pooler::serviceStatus(const ServiceName& name, const Guide::ServiceView& view) const {
   auto now = clock_.now();
   const auto& primary = view.primary;
-  Json own{{"epoch", primary.epoch.get()},
-           {"primary", primary.primary.get()},
-           {"promoted", primary.promoted},
-           {"share", connectionLimit(name, view)}};
+  Json json{{"epoch", primary.epoch.get()},
+            {"primary", primary.primary.get()},
+            {"promoted", primary.promoted},
+            {"share", connectionLimit(name, view)}};
   auto lease = guide_.leaseUntil(name);
-  own["lease_ms"] = lease ? milliseconds(*lease - now).count() : 0;
-  if (auto reason = guide_.shareless(name)) own["shareless"] = *reason;
-  if (auto waits = unavailabilityReasons(name, view); !waits.empty()) own["waits"] = waits;
-  own["databases"] = Json::object();
+  json["lease_ms"] = lease ? milliseconds(*lease - now).count() : 0;
+  if (auto reason = guide_.shareless(name)) json["shareless"] = *reason;
+  if (auto unavailable = unavailabilityReasons(name, view); !unavailable.empty()) json["waits"] = unavailable;
+  json["databases"] = Json::object();
   for (const auto& [database, info] : view.databases) {
-    auto& entry = own["databases"][database.get()];
+    auto& entry = json["databases"][database.get()];
     entry = {{"zone", info.zone.get()}, {"busy", 0}, {"idle", 0}, {"opening", 0}};
     std::vector<std::string> reasons;
     if (const auto* databasePool = pool_.find(database)) {
@@ -88,12 +89,12 @@
       entry["idle"] = databasePool->idle.size();
       entry["opening"] = databasePool->opening;
       if (databasePool->lastContactAt != Instant{}) entry["heard_ms_ago"] = milliseconds(now - databasePool->lastContactAt).count();
-      reasons = unused(*databasePool, now);
+      reasons = unusedReasons(*databasePool, now);
     }
     if (view.drained.contains(database)) reasons.insert(reasons.begin(), "drained");
     if (!reasons.empty()) entry["unused"] = reasons;
   }
-  return own;
+  return json;
 }
 
 }  // namespace tamarindshift
--- a/src/pooler/pooler_transactions.cpp
+++ b/src/pooler/pooler_transactions.cpp
@@ -6,20 +6,25 @@
 
 namespace {
 
+/// Per statement, or per start of a transaction.
 constexpr int maxAttempts = 8;
+/// Pause before a retry at the same database; doubles up to `maxRetryPause`.
 constexpr Duration minRetryPause = 10ms;
 constexpr Duration maxRetryPause = 80ms;
 
+/// Whether the database refused the statement without running it, so that any statement may be retried.
 bool notRun(StatementFault fault) {
   return fault == StatementFault::busy || fault == StatementFault::behind || fault == StatementFault::readOnly ||
          fault == StatementFault::misdirected || fault == StatementFault::unknownName;
 }
 
+/// The faults after which a client may rely on the statement having had no lasting effect.
 bool guaranteesNoEffect(StatementFault fault) {
   return fault == StatementFault::busy || fault == StatementFault::aborted || fault == StatementFault::behind ||
          fault == StatementFault::readOnly || fault == StatementFault::misdirected || fault == StatementFault::overloaded;
 }
 
+/// The further faults after which a read may be retried.
 bool readMayBeRetried(StatementFault fault) {
   return fault == StatementFault::failed || fault == StatementFault::timedOut;
 }
--- a/src/pooler/primary_position_history.hpp
+++ b/src/pooler/primary_position_history.hpp
@@ -1,3 +1,4 @@
+/// Recent log positions of a primary, from which bounded-staleness reads at replicas derive the position they need.
 #pragma once
 
 #include <deque>
@@ -8,13 +9,15 @@
 
 namespace tamarindshift {
 
-// Places that the primary's log had reached when it was asked: each covers every commit acknowledged before.
+/// Each position comes from a reply to a statement sent at `askedAt`, so it covers every commit acknowledged before then.
 class PrimaryPositionHistory {
  public:
+  /// Between two samples.
   static constexpr Duration minInterval = 20ms;
   static constexpr Duration retention = 10s;
 
   void record(Instant askedAt, Place logPosition);
+  /// The oldest recorded position that covers all commits acknowledged before `since`; nothing if no sample is as recent.
   std::optional<Place> covering(Instant since) const;
   std::optional<Instant> newest() const;
 
--- a/src/pooler/reply_check.cpp
+++ b/src/pooler/reply_check.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// How late timers may be before an answer counts as late.
+/// Allowance for late timers, on top of a statement's deadline.
 constexpr Duration replySlack = 500ms;
 
 }  // namespace
@@ -18,7 +18,7 @@
   if (times.deadline == Instant::max()) return;
   bool inTime = times.endedAt <= times.deadline + replySlack || times.stalled;
   journal.check(Invariant::answeredInTime, inTime, [&] {
-    return context() + " was held for " + std::to_string(milliseconds(times.endedAt - times.arrivedAt).count()) + " ms";
+    return context() + " was answered after " + std::to_string(milliseconds(times.endedAt - times.arrivedAt).count()) + " ms";
   });
 }
 
--- a/src/pooler/reply_check.hpp
+++ b/src/pooler/reply_check.hpp
@@ -1,3 +1,4 @@
+/// Invariants checked when a statement ends: a write is acknowledged only under a lease, and every statement is answered in time.
 #pragma once
 
 #include <functional>
@@ -8,33 +9,32 @@
 
 namespace tamarindshift {
 
-/// What is true at the moment in which the success of a statement is reported to its client.
+/// The state at the moment at which the success of a statement is reported to its client.
 struct AcknowledgementFacts {
-  /// Says which statement and which database; asked for only where the invariant is violated.
+  /// Names the statement and the database; called only if the invariant is violated.
   std::function<std::string()> context = [] {
     return std::string{};
   };
-  /// Whether it keeps something; nothing is promised by the success of a read.
+  /// Whether the statement makes a write durable; the success of a read promises nothing.
   bool makesDurable = false;
   bool leased = true;
-  /// The database is still the primary of the epoch that is followed, or finishes work before a planned change.
+  /// Whether the database is the primary of the current epoch, or is finishing work before a planned change of primary.
   bool inEpoch = true;
 };
 
-/// Checks that a kept write is reported as done only under a lease and in the epoch it was sent in.
+/// Checks that a durable write is acknowledged only under a lease and in the epoch in which it was sent.
 void checkAcknowledgement(Journal& journal, const AcknowledgementFacts& facts);
 
-/// When a statement came, ended, and had to end.
 struct StatementTimes {
   Instant arrivedAt{};
   Instant endedAt{};
-  /// Instant::max() if it is not bounded.
+  /// Instant::max() if there is no bound.
   Instant deadline = Instant::max();
-  /// Whether the process stood still meanwhile, so that its timers came late.
+  /// Whether the process was stalled meanwhile, so that its timers fired late.
   bool stalled = false;
 };
 
-/// Checks that a statement ended within its bound, give or take the lateness of timers.
+/// Checks that a statement was answered by its deadline, with some slack for late timers.
 void checkAnsweredInTime(Journal& journal, const StatementTimes& times, const std::function<std::string()>& context);
 
 }  // namespace tamarindshift
--- a/src/pooler/sending_check.hpp
+++ b/src/pooler/sending_check.hpp
@@ -1,3 +1,4 @@
+/// Invariants checked before a statement of a client is sent to a database.
 #pragma once
 
 #include <functional>
@@ -9,28 +10,28 @@
 
 namespace tamarindshift {
 
-/// What is true at the moment in which a statement of a client goes to a database.
+/// The state at the moment at which a statement of a client is sent to a database.
 struct SendingFacts {
-  /// Says which statement and which database; asked for only where an invariant is violated.
+  /// Names the statement and the database; called only if an invariant is violated.
   std::function<std::string()> context = [] {
     return std::string{};
   };
   bool heldBySession = true;
-  /// Work of the client, as against what the pooler lays on a connection or takes back from it.
+  /// Whether it is the client's own work, as opposed to session state that the pooler sets on a connection or removes from it.
   bool clientWork = true;
   bool makesDurable = false;
   bool mayHaveRunBefore = false;
   bool leased = true;
   bool asPrimary = false;
-  /// The database is the primary of the epoch that is followed, or finishes work before a planned change.
+  /// Whether the database is the primary of the current epoch, or is finishing work before a planned change of primary.
   bool inEpoch = true;
-  /// Whether it is the first statement of its transaction, or stands alone.
+  /// Whether it is the first statement of its transaction, or a single statement.
   bool begins = true;
   /// How long the database has been known to be drained, if it is.
   std::optional<Duration> drainedFor;
 };
 
-/// Checks the invariants of sending; `drainTime` is how long work may still go to a database that leaves.
+/// Checks the invariants of sending; `drainTime` is how long new work may still go to a database that is being drained.
 void checkSending(Journal& journal, const SendingFacts& facts, Duration drainTime);
 
 }  // namespace tamarindshift
--- a/src/pooler/service_tracker.hpp
+++ b/src/pooler/service_tracker.hpp
@@ -1,3 +1,4 @@
+/// A pooler's own record of a service, kept from one update of the control plane to the next.
 #pragma once
 
 #include <set>
@@ -7,20 +8,30 @@
 
 namespace tamarindshift {
 
-// what a pooler keeps of a service between its news
 struct ServiceTracker {
+  /// The newest epoch received.
   Epoch observedEpoch;
+  /// The newest epoch for which no work of an earlier epoch runs any more; this is what is reported.
   Epoch confirmedEpoch;
+  /// Of the observed epoch.
   DatabaseName primary;
+  /// Until then work of the previous epoch may finish, after a planned change of primary.
   Instant finishUntil{};
+  /// When a lease was last seen to be valid.
   Instant lastLeasedAt{};
+  /// Suspected and strained databases as last included in a requested report.
   std::set<DatabaseName> suspects;
   std::set<DatabaseName> strained;
+  /// The load that is reported: per database and precedence, connections in units of 1 / demandUnit.
   std::map<DatabaseName, OrderedDemand> demands;
   PrimaryPositionHistory primaryPositions;
+  /// When a connection was last requested.
   Instant lastWorkAt{};
+  /// Connections in use, as a peak that decays with each report.
   double connectionDemand = 0;
+  /// The mark of the newest update with whose limits the held connections comply.
   std::uint64_t appliedMark = 0;
+  /// The highest log position of a commit that the pooler has seen succeed.
   Place acknowledgedPosition;
 };
 
--- a/src/pooler/statement.hpp
+++ b/src/pooler/statement.hpp
@@ -1,3 +1,4 @@
+/// Statements of clients and of the pooler itself.
 #pragma once
 
 #include <string>
@@ -8,9 +9,13 @@
 
 struct Statement {
   StatementKind kind{};
+  /// Given by the client; empty for statements of the pooler itself.
   std::string id;
+  /// As the client sent it; empty for statements of the pooler itself.
   std::string text;
+  /// Of the variable or prepared statement.
   std::string name;
+  /// Of the variable, or the shape of the prepared statement.
   std::string value;
 };
 
--- a/src/pooler/statement_fault.hpp
+++ b/src/pooler/statement_fault.hpp
@@ -1,8 +1,10 @@
+/// Why a statement did not succeed.
 #pragma once
 
 namespace tamarindshift {
 
-// busy, aborted, behind, readOnly, misdirected and overloaded promise that nothing of the try is kept
+/// busy, aborted, behind, readOnly, misdirected and overloaded guarantee that the attempt had no lasting effect. `behind`:
+/// the log of the database has not reached the required position.
 enum class StatementFault {
   none,
   busy,
--- a/src/pooler/statement_trace.hpp
+++ b/src/pooler/statement_trace.hpp
@@ -1,3 +1,4 @@
+/// Trace of a statement through the pooler, for the failure log and the invariants.
 #pragma once
 
 #include <string>
@@ -9,29 +10,31 @@
 
 namespace tamarindshift {
 
-/// What became of a statement at one database.
+/// One attempt to run a statement at a database.
 struct StatementAttempt {
   DatabaseName database;
   BackEndOutcome outcome = BackEndOutcome::unsent;
   StatementFault fault = StatementFault::none;
+  /// From the arrival of the statement to the start of the attempt.
   Duration sentAfter{};
+  /// Of the attempt.
   Duration latency{};
 };
 
-/// The way of one statement through the pooler, kept until it ends.
+/// Begins when a statement arrives; the session keeps it until the next one.
 struct StatementTrace {
-  /// Later attempts are counted but not kept.
+  /// Later attempts are only counted.
   static constexpr std::size_t maxAttemptsKept = 8;
 
   std::string id;
   Instant arrivedAt{};
   KindName kind;
   ServiceName service;
-  /// When it may be held no longer, if that is known.
+  /// When it must be answered; Instant::max() while that is not known.
   Instant deadline = Instant::max();
-  /// Time in which no database could take it, in all attempts together.
+  /// Time spent waiting for a connection, over all attempts.
   Duration waited{};
-  /// Whether it keeps something and was sent in a way that it may have run.
+  /// Whether it writes or commits and an attempt may have run.
   bool mayHaveRun = false;
   std::size_t attemptsMade = 0;
   std::vector<StatementAttempt> attempts;
--- a/tests/invariant_checks_test.cpp
+++ b/tests/invariant_checks_test.cpp
@@ -51,7 +51,7 @@
   checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 1301ms, noon + 800ms}, somewhere);
   CHECK(trial.violations() == 1);
   REQUIRE(trial.lines.size() == 1);
-  CHECK(trial.lines.front().find("'7' of r1 was held for 1301 ms") != std::string::npos);
+  CHECK(trial.lines.front().find("'7' of r1 was answered after 1301 ms") != std::string::npos);
 }
 
 TEST_CASE("invariants: shares that sum past the cap of a branch are noticed, granted and reserved ones together") {
--- a/tests/pooler_drain_test.cpp
+++ b/tests/pooler_drain_test.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("pooler drain: a draining node is not ready at once and serves for drainServes", "[pooler][drain]") {
+TEST_CASE("pooler drain: a draining node is not ready at once and serves for drainServingTime", "[pooler][drain]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK_FALSE(trial.pooler->notReadyReason());
@@ -30,7 +30,7 @@
   CHECK(trial.pooler->closing());
 }
 
-TEST_CASE("pooler drain: shares are wanted and kept until closing", "[pooler][drain]") {
+TEST_CASE("pooler drain: the node requests and keeps its share until it is closing", "[pooler][drain]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.pooler->drain();
@@ -46,7 +46,7 @@
   CHECK(wanted(trial) == 0);
 }
 
-TEST_CASE("pooler drain: an open transaction may end until half of stop", "[pooler][drain]") {
+TEST_CASE("pooler drain: an open transaction may finish within half of the stop time", "[pooler][drain]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
@@ -64,7 +64,7 @@
   CHECK(trial.backEnds.at("d1").committed.size() == 2);
 }
 
-TEST_CASE("pooler drain: one that is used all the time ends after half of stop too", "[pooler][drain]") {
+TEST_CASE("pooler drain: a transaction in constant use is ended after half of the stop time too", "[pooler][drain]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.pooler->drain();
@@ -78,7 +78,7 @@
   CHECK(alice->ask("COMMIT") == "ABORTED");
 }
 
-TEST_CASE("pooler drain: it has stopped once closing and without sessions", "[pooler][drain]") {
+TEST_CASE("pooler drain: it has stopped once it is closing and no session is left", "[pooler][drain]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.pooler->drain();
@@ -90,7 +90,7 @@
   CHECK(trial.pooler->stopped());
 }
 
-TEST_CASE("pooler drain: without clients it still takes drainServes", "[pooler][drain]") {
+TEST_CASE("pooler drain: without clients it still takes drainServingTime", "[pooler][drain]") {
   PoolerTrial trial;
   trial.pooler->drain();
   trial.run(2100ms);
@@ -99,7 +99,7 @@
   CHECK(trial.pooler->stopped());
 }
 
-TEST_CASE("pooler drain: it has stopped before the grace is over whatever sessions do", "[pooler][drain]") {
+TEST_CASE("pooler drain: it has stopped before its stop time is over even with open sessions", "[pooler][drain]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.pooler->drain();
@@ -109,7 +109,7 @@
   CHECK(trial.pooler->stopped());
 }
 
-TEST_CASE("pooler drain: a second order to leave changes nothing", "[pooler][drain]") {
+TEST_CASE("pooler drain: a second call of drain changes nothing", "[pooler][drain]") {
   PoolerTrial trial;
   trial.pooler->drain();
   trial.run(1500ms);
--- a/tests/pooler_ended_transactions_test.cpp
+++ b/tests/pooler_ended_transactions_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace tamarindshift;
 
-TEST_CASE("pooler transactions: the first statement after the pooler ended one is told ABORTED", "[pooler][mended]") {
+TEST_CASE("pooler transactions: the first statement after the pooler ended the transaction gets ABORTED", "[pooler][mended]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   bool leaving = GENERATE(false, true);
@@ -19,7 +19,7 @@
   CHECK(alice->ask("ROLLBACK") == "OK");
 }
 
-TEST_CASE("pooler transactions: a COMMIT that was busy is tried again on its connection", "[pooler][mended]") {
+TEST_CASE("pooler transactions: a COMMIT that was refused as busy is retried on its connection", "[pooler][mended]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
--- a/tests/pooler_endings_test.cpp
+++ b/tests/pooler_endings_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace tamarindshift;
 
-// one case per row of "How requests end" in docs/platform.md
+// One case per row of "How requests end" in docs/platform.md.
 
 namespace {
 
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("pooler ends: no connection in time is CONGESTED with when to come back", "[pooler][endings]") {
+TEST_CASE("pooler ends: no connection in time is CONGESTED with a retry time", "[pooler][endings]") {
   PoolerTrial trial;
   for (const char* name : {"d1", "d2", "d3"}) trial.backEnds.at(name).opening = ScriptedOpening::overloaded;
   auto alice = trial.client("alice");
@@ -52,7 +52,8 @@
   CHECK(bob->refusal.retryAfter);
 }
 
-TEST_CASE("pooler ends: work without a lease for long is held for little of its bound, a session not at all", "[pooler][endings]") {
+TEST_CASE("pooler ends: without a lease for long, a statement waits for a small part of its timeout and a session not at all",
+          "[pooler][endings]") {
   PoolerTrial trial;
   trial.updates.replicasReply = true;
   auto alice = trial.client("alice");
@@ -68,7 +69,7 @@
   CHECK(trial.clock.now() - asked <= 5ms);
 }
 
-TEST_CASE("pooler ends: no client is held to its deadline by tries while no lease comes", "[pooler][endings]") {
+TEST_CASE("pooler ends: without a lease, a client's retries end well before its deadline", "[pooler][endings]") {
   PoolerTrial trial;
   trial.updates.replicasReply = true;
   auto alice = trial.client("alice");
@@ -82,7 +83,7 @@
   CHECK(trial.clock.now() - later <= 465ms);
 }
 
-TEST_CASE("pooler ends: a process that stood still holds its work until it has heard of its lease", "[pooler][endings]") {
+TEST_CASE("pooler ends: after a stall of the process, statements wait until the lease is known again", "[pooler][endings]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   REQUIRE(alice->ask("READ a") == "OK");
@@ -97,7 +98,7 @@
   CHECK(alice->finish(asked) == "OK");
 }
 
-TEST_CASE("pooler ends: a lease that comes back in time costs only the wait", "[pooler][endings]") {
+TEST_CASE("pooler ends: a statement succeeds if the lease returns in time", "[pooler][endings]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.endLease();
@@ -109,7 +110,7 @@
   CHECK(asked->elapsed() < 340ms);
 }
 
-TEST_CASE("pooler ends: a leaving node refuses sessions with CONGESTED", "[pooler][endings]") {
+TEST_CASE("pooler ends: a draining node refuses sessions with CONGESTED", "[pooler][endings]") {
   PoolerTrial trial;
   trial.pooler->drain();
   trial.run(2300ms);
@@ -119,7 +120,7 @@
   CHECK(alice->refusal.retryAfter);
 }
 
-TEST_CASE("pooler ends: too many sessions are refused with CONGESTED, after one has gone there is room", "[pooler][endings]") {
+TEST_CASE("pooler ends: too many sessions are refused with CONGESTED, until one is closed", "[pooler][endings]") {
   PoolerTrial::Options options;
   options.settings.maxSessions = 2;
   PoolerTrial trial(options);
@@ -195,7 +196,7 @@
   CHECK(trial.backEnds.at("d1").committed.empty());
 }
 
-TEST_CASE("pooler ends: COMMIT without a reply is ABORTED where nothing was written", "[pooler][endings]") {
+TEST_CASE("pooler ends: COMMIT without a reply is ABORTED if nothing was written", "[pooler][endings]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
@@ -235,7 +236,7 @@
   CHECK(alice->ask("READ a") == "OK");
 }
 
-TEST_CASE("pooler ends: lease or epoch over at the reply is UNRESOLVED", "[pooler][endings]") {
+TEST_CASE("pooler ends: a write is UNRESOLVED if the lease or epoch ended before its reply", "[pooler][endings]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   bool transaction = GENERATE(false, true);
@@ -255,7 +256,7 @@
   CHECK(asked->reply->state == TransactionState::idle);
 }
 
-TEST_CASE("pooler ends: a single read unanswered up to the statement's bound is EXPIRED", "[pooler][endings]") {
+TEST_CASE("pooler ends: a single read without a reply within its timeout is EXPIRED", "[pooler][endings]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.backEnds.at("d1").slowDelay = 5s;
@@ -265,7 +266,7 @@
   CHECK(alice->last->elapsed() <= 1010ms);
 }
 
-TEST_CASE("pooler ends: the database's own errors of writes are passed on", "[pooler][endings]") {
+TEST_CASE("pooler ends: a database's errors for writes are passed on", "[pooler][endings]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.backEnds.script("d1", StatementKind::write, ScriptedOutcome::failed);
@@ -284,7 +285,7 @@
   CHECK(alice->ask("WRITE a 4") == "OK");
 }
 
-TEST_CASE("pooler ends: a read that failed is tried elsewhere, then its error is passed on", "[pooler][endings]") {
+TEST_CASE("pooler ends: a failed read is retried at other databases, then its error is passed on", "[pooler][endings]") {
   PoolerTrial trial;
   auto alice = trial.client("alice", "bounded");
   CHECK(alice->ask("READ warm") == "OK");
@@ -300,7 +301,7 @@
   CHECK(bob->last->elapsed() <= 560ms);
 }
 
-TEST_CASE("pooler ends: a statement that is not possible in this state is MALFORMED", "[pooler][endings]") {
+TEST_CASE("pooler ends: a statement that is not allowed in the session's state is MALFORMED", "[pooler][endings]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   for (const char* text : {"COMMIT", "ROLLBACK"}) {
--- a/tests/pooler_epochs_test.cpp
+++ b/tests/pooler_epochs_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("pooler epochs: the first one is reported under the node's boot", "[pooler][epochs]") {
+TEST_CASE("pooler epochs: the first epoch is reported with the node's boot number", "[pooler][epochs]") {
   EpochTrial trial;
   CHECK(trial.runUntil(600ms, [&] {
     return trial.reported(1);
@@ -29,7 +29,7 @@
   CHECK(trial.report().node == Address{"10.1.0.1:1"});
 }
 
-TEST_CASE("pooler epochs: an unplanned change cuts what runs at once and is then reported", "[pooler][epochs]") {
+TEST_CASE("pooler epochs: an unplanned change closes connections with running work at once and is then reported", "[pooler][epochs]") {
   EpochTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
@@ -54,7 +54,7 @@
   CHECK(trial.runsOf("READ b").back().database == "d2");
 }
 
-TEST_CASE("pooler epochs: an unplanned change leaves reads at replicas alone", "[pooler][epochs]") {
+TEST_CASE("pooler epochs: an unplanned change does not affect reads at replicas", "[pooler][epochs]") {
   EpochTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
@@ -67,7 +67,7 @@
   CHECK(trial.runsOf("READ b").size() == 1);
 }
 
-TEST_CASE("pooler epochs: a planned change lets running work end and is reported only then", "[pooler][epochs]") {
+TEST_CASE("pooler epochs: a planned change lets running work finish and is reported only then", "[pooler][epochs]") {
   EpochTrial trial;
   auto alice = trial.client("alice");
   trial.backEnds.at("d1").runTime = 300ms;
@@ -82,7 +82,7 @@
   CHECK(trial.committed(asked->id) == 1);
 }
 
-TEST_CASE("pooler epochs: in a planned change an open transaction may end within plannedFinish", "[pooler][epochs]") {
+TEST_CASE("pooler epochs: in a planned change an open transaction may finish within plannedChangeGrace", "[pooler][epochs]") {
   EpochTrial trial;
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
@@ -98,7 +98,7 @@
   }));
 }
 
-TEST_CASE("pooler epochs: what a planned change waited for in vain is cut after plannedFinish", "[pooler][epochs]") {
+TEST_CASE("pooler epochs: work that does not finish in a planned change is closed after plannedChangeGrace", "[pooler][epochs]") {
   EpochTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
@@ -118,7 +118,8 @@
   CHECK(trial.committed("bob.2") == 0);
 }
 
-TEST_CASE("pooler epochs: nothing of a transaction is passed after plannedFinish, also before it is cut", "[pooler][epochs]") {
+TEST_CASE("pooler epochs: no statement of a transaction is sent after plannedChangeGrace, even before its connection is closed",
+          "[pooler][epochs]") {
   EpochTrial trial;
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
@@ -133,7 +134,7 @@
   CHECK(trial.backEnds.at("d1").committed.empty());
 }
 
-TEST_CASE("pooler epochs: a read that runs at the primary for want of a sample is cut and answered elsewhere", "[pooler][epochs]") {
+TEST_CASE("pooler epochs: a read at the primary for lack of a position sample is closed and answered elsewhere", "[pooler][epochs]") {
   EpochTrial trial;
   auto bob = trial.client("bob", "bounded");
   trial.backEnds.at("d1").runTime = 900ms;
@@ -150,7 +151,7 @@
   CHECK(trial.runsOf("READ b").back().database == "d2");
 }
 
-TEST_CASE("pooler epochs: idle connections to a primary that is replaced unplanned are closed", "[pooler][epochs]") {
+TEST_CASE("pooler epochs: an unplanned change closes idle connections to the former primary", "[pooler][epochs]") {
   EpochTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "OK");
@@ -160,7 +161,7 @@
   CHECK(trial.backEnds.at("d1").connections == 0);
 }
 
-TEST_CASE("pooler epochs: in a planned change nothing new is passed to the former primary", "[pooler][epochs]") {
+TEST_CASE("pooler epochs: in a planned change no new work is sent to the former primary", "[pooler][epochs]") {
   EpochTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
@@ -183,7 +184,7 @@
   CHECK(trial.runsOf("WRITE b 1").front().database == "d2");
 }
 
-TEST_CASE("pooler epochs: an unplanned change after a planned one cuts what was still allowed to end", "[pooler][epochs]") {
+TEST_CASE("pooler epochs: an unplanned change after a planned one closes work that was still allowed to finish", "[pooler][epochs]") {
   EpochTrial trial;
   auto alice = trial.client("alice");
   trial.backEnds.at("d1").runTime = 900ms;
@@ -200,7 +201,7 @@
   CHECK_FALSE(trial.everReported(2));
 }
 
-TEST_CASE("pooler epochs: acknowledged places are reported", "[pooler][epochs]") {
+TEST_CASE("pooler epochs: acknowledged log positions are reported", "[pooler][epochs]") {
   EpochTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "OK");
--- a/tests/pooler_crowded_test.cpp
+++ b/tests/pooler_overload_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-struct CrowdedTrial : PoolerTrial {
-  explicit CrowdedTrial(std::uint64_t seed) : PoolerTrial(options(seed)) { backEnds.at("d1").runTime = 20ms; }
+struct OverloadTrial : PoolerTrial {
+  explicit OverloadTrial(std::uint64_t seed) : PoolerTrial(options(seed)) { backEnds.at("d1").runTime = 20ms; }
   static Options options(std::uint64_t seed) {
     Options options;
     options.seed = seed;
@@ -17,14 +17,14 @@
     return options;
   }
   std::size_t clients = 0;
-  void press(std::size_t count, Duration duration) {
-    std::vector<std::unique_ptr<TrialClient>> crowd;
+  void runLoad(std::size_t count, Duration duration) {
+    std::vector<std::unique_ptr<TrialClient>> loadClients;
     std::vector<std::shared_ptr<ClientStatement>> asked(count);
-    for (std::size_t number = 0; number < count; ++number) crowd.push_back(client("c" + std::to_string(++clients)));
+    for (std::size_t number = 0; number < count; ++number) loadClients.push_back(client("c" + std::to_string(++clients)));
     auto until = world.now() + duration;
     while (world.now() < until) {
       for (std::size_t index = 0; index < count; ++index)
-        if (!asked[index] || asked[index]->reply) asked[index] = crowd[index]->start("WRITE a " + std::to_string(index));
+        if (!asked[index] || asked[index]->reply) asked[index] = loadClients[index]->start("WRITE a " + std::to_string(index));
       run(1ms);
     }
     REQUIRE(runUntil(1s, [&] {
@@ -37,40 +37,40 @@
 
 }  // namespace
 
-TEST_CASE("pooler crowded: a node told that a database holds too many connections gives half of its own back", "[pooler][crowded]") {
+TEST_CASE("pooler overload: when a database reports too many connections, the node closes half of its own", "[pooler][overload]") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    CrowdedTrial trial(seed);
+    OverloadTrial trial(seed);
     auto& database = trial.backEnds.at("d1");
-    trial.press(8, 200ms);
+    trial.runLoad(8, 200ms);
     CHECK(database.connections == 8);
     database.opening = ScriptedOpening::overloaded;
-    trial.press(12, 60ms);
+    trial.runLoad(12, 60ms);
     trial.run(50ms);
     CHECK(database.connections == 4);
     CHECK(trial.violations.empty());
   }
 }
 
-TEST_CASE("pooler crowded: what was given back is won again one by one", "[pooler][crowded]") {
-  CrowdedTrial trial(1);
+TEST_CASE("pooler overload: the closed connections are reopened one by one", "[pooler][overload]") {
+  OverloadTrial trial(1);
   auto& database = trial.backEnds.at("d1");
-  trial.press(8, 200ms);
+  trial.runLoad(8, 200ms);
   database.opening = ScriptedOpening::overloaded;
-  trial.press(12, 60ms);
+  trial.runLoad(12, 60ms);
   database.opening = ScriptedOpening::accepted;
-  trial.press(12, 500ms);
+  trial.runLoad(12, 500ms);
   CHECK(database.connections > 4);
   CHECK(database.connections < 8);
-  trial.press(12, 2s);
+  trial.runLoad(12, 2s);
   CHECK(database.connections >= 9);
   CHECK(trial.violations.empty());
 }
 
-TEST_CASE("pooler crowded: a node with no connection at all tries again soon", "[pooler][crowded]") {
-  CrowdedTrial trial(1);
+TEST_CASE("pooler overload: a node without any connection retries soon", "[pooler][overload]") {
+  OverloadTrial trial(1);
   auto& database = trial.backEnds.at("d1");
   database.opening = ScriptedOpening::overloaded;
-  trial.press(2, 2s);
+  trial.runLoad(2, 2s);
   CHECK(database.openings >= 8);
   CHECK(database.openings <= 24);
   database.opening = ScriptedOpening::accepted;
--- a/tests/pooler_partial_news_test.cpp
+++ b/tests/pooler_partial_updates_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace tamarindshift;
 
-TEST_CASE("pooler routes: a node that knows the fleet and not each service refuses as CONGESTED", "[pooler][routes]") {
+TEST_CASE("pooler routes: a node that knows the fleet plan but not every service refuses with CONGESTED", "[pooler][routes]") {
   PoolerTrial::Options options;
   options.published = false;
   PoolerTrial trial(options);
@@ -29,7 +29,7 @@
   CHECK(trial.client("carol3", "nowhere")->refusal.fault == StatementFault::noDatabase);
 }
 
-TEST_CASE("pooler routes: while a service's news are not there yet no host is refused for good", "[pooler][mended]") {
+TEST_CASE("pooler routes: before a service's update has arrived no host is refused as unknown", "[pooler][mended]") {
   PoolerTrial::Options options;
   options.published = false;
   PoolerTrial trial(options);
@@ -42,7 +42,7 @@
   CHECK(trial.client("bob")->session);
 }
 
-TEST_CASE("pooler routes: under a plan without any service a node is ready and knows no host", "[pooler][routes][mended]") {
+TEST_CASE("pooler routes: under a plan without any service the node is ready and knows no host", "[pooler][routes][mended]") {
   PoolerTrial::Options options;
   options.published = false;
   PoolerTrial trial(options);
--- a/tests/pooler_rations_test.cpp
+++ b/tests/pooler_rations_test.cpp
@@ -19,7 +19,7 @@
     updates.put("s1", "ration/" + database, Ration{freeThrough, {{settings.node, later}}});
     run(1ms);
   }
-  void free(const std::string& database = "d1") {
+  void removeRation(const std::string& database = "d1") {
     updates.remove("s1", "ration/" + database);
     run(1ms);
   }
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("pooler rations: later work waits while earlier work goes on, and is told why it was refused", "[pooler][rations]") {
+TEST_CASE("pooler rations: work of later precedence waits while earlier work runs, and its refusal says why", "[pooler][rations]") {
   RationsTrial trial;
   trial.ration(0, 0);
   auto counter = trial.client("counter", "counter");
@@ -43,7 +43,8 @@
   CHECK(trial.violations.empty());
 }
 
-TEST_CASE("pooler rations: later work has the node's connections and no more, and all of them when the ration ends", "[pooler][rations]") {
+TEST_CASE("pooler rations: later work gets the connections that the ration grants the node, and all of them when it ends",
+          "[pooler][rations]") {
   RationsTrial trial;
   trial.backEnds.at("d1").runTime = 50ms;
   trial.ration(0, 1);
@@ -58,13 +59,13 @@
     return trial.runsOf("WRITE b 0").size() + trial.runsOf("WRITE b 1").size() + trial.runsOf("WRITE b 2").size();
   };
   CHECK(started() == 1);
-  trial.free();
+  trial.removeRation();
   trial.run(20ms);
   CHECK(started() == 3);
   for (int number = 0; number < 3; ++number) CHECK(clients[number]->finish(asked[number]) == "OK");
 }
 
-TEST_CASE("pooler rations: a transaction that has begun goes on, one that has not waits", "[pooler][rations]") {
+TEST_CASE("pooler rations: a transaction that has begun continues, one that has not waits", "[pooler][rations]") {
   RationsTrial trial;
   auto begun = trial.client("begun", "directory");
   begun->ask("BEGIN");
@@ -77,7 +78,7 @@
   CHECK(begun->ask("COMMIT") == "OK");
   trial.run(50ms);
   CHECK_FALSE(waits->reply);
-  trial.free();
+  trial.removeRation();
   CHECK(later->finish(waits) == "OK");
   CHECK(later->ask("COMMIT") == "OK");
   CHECK(trial.violations.empty());
@@ -97,7 +98,7 @@
   CHECK(trial.runsOf("READ c").front().database == "d1");
 }
 
-TEST_CASE("pooler rations: a node that the ration does not name holds later work until one names it", "[pooler][rations]") {
+TEST_CASE("pooler rations: a node that the ration does not list holds later work back until one lists it", "[pooler][rations]") {
   RationsTrial trial;
   trial.updates.put("s1", "ration/d1", Ration{0, {{Address{"10.1.0.9:1"}, 5}}});
   auto directory = trial.client("directory", "directory");
@@ -108,8 +109,7 @@
   CHECK(directory->finish(waits) == "OK");
 }
 
-TEST_CASE("pooler rations: what keeps connections running and what waits is told by order, and nothing of a quiet database",
-          "[pooler][rations]") {
+TEST_CASE("pooler rations: running and waiting work is reported by precedence, and nothing for an idle database", "[pooler][rations]") {
   RationsTrial trial;
   trial.run(700ms);
   CHECK(trial.serviceReport().demands.empty());
@@ -121,12 +121,12 @@
     clients.push_back(trial.client("c" + std::to_string(number), number < 2 ? "counter" : "directory"));
     asked.push_back(clients.back()->start("WRITE b 1"));
   }
-  auto told = [&](std::uint32_t order) {
+  auto reportedDemand = [&](std::uint32_t order) {
     auto demands = trial.serviceReport().demands;
     return demands.size() == 1 && demands.contains(DatabaseName{"d1"}) ? demands[DatabaseName{"d1"}][order] : 0;
   };
   CHECK(trial.runUntil(800ms, [&] {
-    return told(0) >= 18 && told(0) <= 20 && told(2) >= 48 && told(2) <= 50;
+    return reportedDemand(0) >= 18 && reportedDemand(0) <= 20 && reportedDemand(2) >= 48 && reportedDemand(2) <= 50;
   }));
   for (int number = 0; number < 7; ++number) clients[number]->finish(asked[number]);
   CHECK(trial.runUntil(3s, [&] {
--- a/tests/pooler_reads_test.cpp
+++ b/tests/pooler_reads_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("pooler reads: without a sample they go to the primary", "[pooler][reads]") {
+TEST_CASE("pooler reads: without a position sample they go to the primary", "[pooler][reads]") {
   PoolerTrial trial;
   auto bob = trial.client("bob", "bounded");
   CHECK(bob->ask("READ a") == "OK");
@@ -38,7 +38,7 @@
   for (const auto& run : trial.runsOf("READ a")) CHECK_FALSE(run.minPosition);
 }
 
-TEST_CASE("pooler reads: AFTER carries the oldest position within the bound", "[pooler][reads]") {
+TEST_CASE("pooler reads: AFTER carries the oldest position within the staleness bound", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
@@ -63,7 +63,7 @@
   CHECK(trial.runsOf("READ r4").back().database == "d1");
 }
 
-TEST_CASE("pooler reads: with a fresh sample they leave the primary", "[pooler][reads]") {
+TEST_CASE("pooler reads: with a recent position sample they go to replicas", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
@@ -74,7 +74,7 @@
   for (const auto& run : trial.runsOf("READ a")) CHECK(run.minPosition);
 }
 
-TEST_CASE("pooler reads: own commits raise AFTER on their route, those of others do not", "[pooler][reads]") {
+TEST_CASE("pooler reads: a session's own commits raise AFTER, those of other sessions do not", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice", "house");
   auto bob = trial.client("bob", "house");
@@ -94,7 +94,7 @@
   CHECK(trial.runsOf("READ c").front().minPosition == at(103));
 }
 
-TEST_CASE("pooler reads: a replica that lags is left for another", "[pooler][reads]") {
+TEST_CASE("pooler reads: a lagging replica is avoided", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
@@ -114,7 +114,7 @@
   for (const auto& run : runs) CHECK((run.ran == (run.logPosition >= *run.minPosition)));
 }
 
-TEST_CASE("pooler reads: where all replicas lag the primary is read", "[pooler][reads]") {
+TEST_CASE("pooler reads: if all replicas lag they go to the primary", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
@@ -125,7 +125,7 @@
   CHECK(bob->last->elapsed() < 100ms);
 }
 
-TEST_CASE("pooler reads: after a promotion that cut positions back the new primary serves", "[pooler][reads]") {
+TEST_CASE("pooler reads: after a promotion with lower log positions the new primary serves", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
@@ -141,7 +141,7 @@
   CHECK(trial.runsOf("READ a").back().database == "d2");
 }
 
-TEST_CASE("pooler reads: a position that a former primary tells is no sample", "[pooler][reads]") {
+TEST_CASE("pooler reads: a position reported by a former primary is not used as a sample", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
@@ -161,8 +161,7 @@
   if (run.minPosition) CHECK(run.minPosition->epoch == Epoch{3});
 }
 
-TEST_CASE("pooler reads: a silent replica is suspected, its reads are answered elsewhere, and it comes back by a trial",
-          "[pooler][reads]") {
+TEST_CASE("pooler reads: a silent replica is suspected, its reads are answered elsewhere, and a probe brings it back", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
@@ -208,7 +207,7 @@
   CHECK(databasesOf(trial.runsOf("READ d")).contains("d2"));
 }
 
-TEST_CASE("pooler reads: where others are busy none waits for a suspected replica", "[pooler][reads]") {
+TEST_CASE("pooler reads: none waits for a suspected replica, even if the others are busy", "[pooler][reads]") {
   PoolerTrial::Options options;
   options.share = 2;
   PoolerTrial trial(options);
@@ -236,7 +235,7 @@
   CHECK_FALSE(databasesOf(trial.runsOf("READ b")).contains("d2"));
 }
 
-TEST_CASE("pooler reads: a replica that refuses connections is suspected and left", "[pooler][reads]") {
+TEST_CASE("pooler reads: a replica that refuses connections is suspected and not used", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
@@ -251,7 +250,8 @@
   }));
 }
 
-TEST_CASE("pooler reads: a replica whose connections hang at open does not hold reads that others can serve", "[pooler][reads]") {
+TEST_CASE("pooler reads: a replica whose connections hang while being opened does not delay reads that others can serve",
+          "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
@@ -273,7 +273,7 @@
   CHECK(trial.serviceReport().suspects.empty());
 }
 
-TEST_CASE("pooler reads: a drained or unknown replica gets none", "[pooler][reads]") {
+TEST_CASE("pooler reads: a drained or removed replica gets none", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
@@ -287,7 +287,7 @@
   CHECK(trial.backEnds.at("d3").connections == 0);
 }
 
-TEST_CASE("pooler reads: a silent primary is reported and what runs there is not cut", "[pooler][reads]") {
+TEST_CASE("pooler reads: a silent primary is reported and the work that runs there is not closed", "[pooler][reads]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "OK");
@@ -301,7 +301,7 @@
   CHECK(asked->elapsed() >= 990ms);
 }
 
-TEST_CASE("pooler reads: lagging replicas, breaks and changes of primary never give a stale read", "[pooler][reads][seeds]") {
+TEST_CASE("pooler reads: no read is stale under replica lag, lost connections and changes of primary", "[pooler][reads][seeds]") {
   for (std::uint64_t seed = 200; seed < 212; ++seed) {
     PoolerTrial::Options options;
     options.seed = seed;
--- a/tests/pooler_rejoin_test.cpp
+++ b/tests/pooler_rejoin_test.cpp
@@ -20,7 +20,7 @@
   return sum;
 }
 
-PoolerTrial::Options ofShare(std::uint32_t most, std::uint64_t seed = 1) {
+PoolerTrial::Options optionsWithShare(std::uint32_t most, std::uint64_t seed = 1) {
   PoolerTrial::Options options;
   options.share = most;
   options.seed = seed;
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("pooler rejoins: without a lease all connections are closed, whatever they are doing", "[pooler][rejoin]") {
+TEST_CASE("pooler rejoins: without a lease all connections are closed, busy ones too", "[pooler][rejoin]") {
   PoolerTrial trial;
   trial.kinds.at(KindName{"strict"}).statement = 10s;
   trial.publishService();
@@ -56,7 +56,7 @@
   CHECK(ended->ask("WRITE c 1") == "OK");
 }
 
-TEST_CASE("pooler rejoins: a short lapse costs no connection", "[pooler][rejoin]") {
+TEST_CASE("pooler rejoins: a short lapse of the lease closes no connection", "[pooler][rejoin]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "OK");
@@ -68,7 +68,7 @@
   CHECK(openings(trial) == before);
 }
 
-TEST_CASE("pooler rejoins: nothing is opened without a lease, not to try a suspected database either", "[pooler][rejoin]") {
+TEST_CASE("pooler rejoins: without a lease no connection is opened, not even to probe a suspected database", "[pooler][rejoin]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "OK");
@@ -97,8 +97,8 @@
   CHECK(connections(trial) == 0);
 }
 
-TEST_CASE("pooler rejoins: a connection that opens after the share has fallen is closed in the same moment", "[pooler][rejoin]") {
-  PoolerTrial trial(ofShare(4));
+TEST_CASE("pooler rejoins: a connection that opens after the share was reduced is closed at once", "[pooler][rejoin]") {
+  PoolerTrial trial(optionsWithShare(4));
   trial.backEnds.at("d1").openTime = 60ms;
   auto alice = trial.client("alice");
   auto asked = alice->start("WRITE a 1");
@@ -113,7 +113,7 @@
   CHECK(trial.serviceReport().followed == trial.updates.mark("s1"));
 }
 
-TEST_CASE("pooler rejoins: after a lapse a session finds its values, names and own writes", "[pooler][rejoin]") {
+TEST_CASE("pooler rejoins: after a lapse a session has its variables, prepared names and own writes", "[pooler][rejoin]") {
   PoolerTrial trial;
   auto alice = trial.client("alice", "house");
   CHECK(alice->ask("SET zone z9") == "OK");
@@ -137,10 +137,10 @@
   CHECK(ran->values.at("zone") == "z9");
 }
 
-TEST_CASE("pooler rejoins: whatever happens to lease, share, primary and connections, promises and sessions hold",
+TEST_CASE("pooler rejoins: guarantees and session state survive changes of lease, share, primary and connections",
           "[pooler][rejoin][seeds]") {
   for (std::uint64_t seed = 500; seed < 520; ++seed) {
-    PoolerTrial trial(ofShare(3, seed));
+    PoolerTrial trial(optionsWithShare(3, seed));
     INFO("seed " << seed);
     auto& world = trial.world;
     std::vector<std::unique_ptr<TrialClient>> clients;
@@ -158,7 +158,7 @@
     std::uint64_t epoch = 1;
     std::string primary = "d1";
     constexpr auto never = Instant::max();
-    auto lapsedAt = never;
+    auto leaseEndedAt = never;
     auto promotesAt = never;
     std::string next;
     auto text = [&](std::size_t index) -> std::string {
@@ -199,12 +199,12 @@
         if (world.chance(200)) asked[index] = clients[index]->start(text(index));
       }
       if (world.chance(2)) {
-        if (lapsedAt != never) {
+        if (leaseEndedAt != never) {
           trial.renewLease();
-          lapsedAt = never;
+          leaseEndedAt = never;
         } else {
           trial.endLease();
-          lapsedAt = world.now();
+          leaseEndedAt = world.now();
         }
       }
       if (world.chance(3)) trial.publishShare(static_cast<std::uint32_t>(world.below(5)));
@@ -222,8 +222,8 @@
         trial.publishPrimary(++epoch, next, false, world.chance(500));
         promotesAt = world.now() + std::chrono::milliseconds{600 + world.below(600)};
       }
-      if (world.now() >= promotesAt && lapsedAt == never) {
-        // as the platform does it: the chosen one has what was acknowledged, and the nodes have reported
+      if (world.now() >= promotesAt && leaseEndedAt == never) {
+        // as in a real promotion: the new primary has all acknowledged commits, and the nodes have reported the epoch
         trial.backEnds.at(next).logPosition = std::max(trial.backEnds.at(next).logPosition, trial.backEnds.at(primary).logPosition);
         trial.makePrimary(next);
         primary = next;
@@ -231,7 +231,8 @@
         promotesAt = never;
       }
       trial.run(1ms);
-      if (lapsedAt != never && world.now() - lapsedAt > trial.settings.timings.connectionsKept + 200ms) CHECK(connections(trial) == 0);
+      if (leaseEndedAt != never && world.now() - leaseEndedAt > trial.settings.timings.connectionsKept + 200ms)
+        CHECK(connections(trial) == 0);
     }
     trial.renewLease();
     trial.publishShare(3);
--- a/tests/pooler_reporting_test.cpp
+++ b/tests/pooler_reporting_test.cpp
@@ -8,7 +8,7 @@
 
 struct ReportTrial : PoolerTrial {
   bool reported(std::uint64_t epoch) const { return serviceReport().epoch == Epoch{epoch}; }
-  // up to just after the next report
+  // runs until just after the next report
   void runToReport() {
     auto count = reports.size();
     REQUIRE(runUntil(600ms, [&] {
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-TEST_CASE("pooler reports: a change that comes just after a report is told soon too", "[pooler][mended]") {
+TEST_CASE("pooler reports: a change just after a report is reported soon too", "[pooler][mended]") {
   ReportTrial trial;
   trial.runToReport();
   trial.publishPrimary(2, "d2", false);
@@ -28,7 +28,7 @@
   }));
 }
 
-TEST_CASE("pooler reports: a planned change is told soon after the last work has ended, whenever that is", "[pooler][mended]") {
+TEST_CASE("pooler reports: a planned change is reported soon after the last work has finished", "[pooler][mended]") {
   auto work = GENERATE(range(100, 400, 20));
   ReportTrial trial;
   auto alice = trial.client("alice");
@@ -43,7 +43,7 @@
   }));
 }
 
-TEST_CASE("pooler reports: an unplanned change is told as soon as what ran is cut", "[pooler][mended]") {
+TEST_CASE("pooler reports: an unplanned change is reported as soon as running work has been closed", "[pooler][mended]") {
   ReportTrial trial;
   auto alice = trial.client("alice");
   trial.backEnds.at("d1").runTime = 900ms;
--- a/tests/pooler_routes_test.cpp
+++ b/tests/pooler_routes_test.cpp
@@ -23,11 +23,11 @@
     publishService("s2");
     run(20ms);
   }
-  void move(const char* name, const char* service) {
+  void moveRoute(const char* name, const char* service) {
     kinds[KindName{name}].service = ServiceName{service};
     publish();
   }
-  void remove(const char* name) {
+  void removeRoute(const char* name) {
     kinds.erase(KindName{name});
     publish();
   }
@@ -45,11 +45,11 @@
   CHECK(trial.runsOf("WRITE b 1").front().database == "d4");
 }
 
-TEST_CASE("pooler routes: a removed one refuses with NODATABASE under a lease", "[pooler][routes]") {
+TEST_CASE("pooler routes: a removed route refuses with NODATABASE under a lease", "[pooler][routes]") {
   RoutesTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  trial.remove("strict");
+  trial.removeRoute("strict");
   for (const char* text : {"WRITE a 2", "READ a", "BEGIN"}) {
     CHECK(alice->ask(text) == "NODATABASE");
     CHECK(alice->last->elapsed() == 0ms);
@@ -60,16 +60,16 @@
   CHECK(trial.runsOf("WRITE a 2").empty());
 }
 
-TEST_CASE("pooler routes: a removed one without a lease is CONGESTED", "[pooler][routes]") {
+TEST_CASE("pooler routes: a removed route refuses with CONGESTED without a lease", "[pooler][routes]") {
   RoutesTrial trial;
   auto alice = trial.client("alice");
-  trial.remove("strict");
+  trial.removeRoute("strict");
   trial.updates.endLease(fleetTopic);
   CHECK(alice->ask("WRITE a 2") == "CONGESTED");
   CHECK(trial.client("bob")->refusal.fault == StatementFault::busy);
 }
 
-TEST_CASE("pooler routes: one that is removed while a statement waits refuses it", "[pooler][routes]") {
+TEST_CASE("pooler routes: a route that is removed while a statement waits refuses it", "[pooler][routes]") {
   RoutesTrial trial;
   trial.publishShare(1);
   trial.run(20ms);
@@ -79,40 +79,40 @@
   CHECK(alice->ask("WRITE a 1") == "OK");
   auto asked = bob->start("WRITE b 1");
   trial.run(50ms);
-  trial.remove("strict");
+  trial.removeRoute("strict");
   CHECK(bob->finish(asked) == "NODATABASE");
   CHECK(asked->elapsed() <= 100ms);
 }
 
-TEST_CASE("pooler routes: an open transaction of a removed one goes on to its end", "[pooler][routes]") {
+TEST_CASE("pooler routes: an open transaction of a removed route may finish", "[pooler][routes]") {
   RoutesTrial trial;
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  trial.remove("strict");
+  trial.removeRoute("strict");
   CHECK(alice->ask("WRITE a 2") == "OK");
   CHECK(alice->ask("COMMIT") == "OK");
   CHECK(trial.backEnds.at("d1").committed.size() == 2);
   CHECK(alice->ask("BEGIN") == "NODATABASE");
 }
 
-TEST_CASE("pooler routes: one that comes back serves its old sessions again", "[pooler][routes]") {
+TEST_CASE("pooler routes: a route that is added again serves its earlier sessions", "[pooler][routes]") {
   RoutesTrial trial;
   auto alice = trial.client("alice");
   auto kind = trial.kinds.at(KindName{"strict"});
-  trial.remove("strict");
+  trial.removeRoute("strict");
   CHECK(alice->ask("READ a") == "NODATABASE");
   trial.kinds[KindName{"strict"}] = kind;
   trial.publish();
   CHECK(alice->ask("READ a") == "OK");
 }
 
-TEST_CASE("pooler routes: a changed one binds at the next statement or transaction", "[pooler][routes]") {
+TEST_CASE("pooler routes: a changed route takes effect at the next statement or transaction", "[pooler][routes]") {
   RoutesTrial trial;
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  trial.move("strict", "s2");
+  trial.moveRoute("strict", "s2");
   CHECK(alice->ask("WRITE a 2") == "OK");
   CHECK(alice->ask("COMMIT") == "OK");
   CHECK(alice->ask("WRITE a 3") == "OK");
@@ -135,12 +135,12 @@
   CHECK(alice->ask("WRITE a 1") == "OK");
   auto asked = bob->start("WRITE b 1");
   trial.run(50ms);
-  trial.move("strict", "s2");
+  trial.moveRoute("strict", "s2");
   CHECK(bob->finish(asked) == "OK");
   CHECK(trial.runsOf("WRITE b 1").front().database == "d4");
 }
 
-TEST_CASE("pooler routes: a changed bound holds from the next statement", "[pooler][routes]") {
+TEST_CASE("pooler routes: a changed timeout takes effect at the next statement", "[pooler][routes]") {
   RoutesTrial trial;
   auto alice = trial.client("alice");
   trial.backEnds.at("d1").slowDelay = 10s;
@@ -151,12 +151,12 @@
   CHECK(alice->last->elapsed() <= 310ms);
 }
 
-TEST_CASE("pooler routes: a service that is gone closes its connections", "[pooler][routes]") {
+TEST_CASE("pooler routes: the connections of a removed service are closed", "[pooler][routes]") {
   RoutesTrial trial;
   auto bob = trial.client("bob", "other");
   CHECK(bob->ask("WRITE b 1") == "OK");
   CHECK(trial.backEnds.at("d4").connections == 1);
-  trial.remove("other");
+  trial.removeRoute("other");
   trial.run(200ms);
   CHECK(trial.backEnds.at("d4").connections == 0);
   CHECK(bob->ask("WRITE b 2") == "NODATABASE");
@@ -168,7 +168,7 @@
   alice->ask("SET zone north");
   alice->ask("PREPARE p READ q");
   CHECK(alice->ask("EXECUTE p a") == "OK");
-  trial.move("strict", "s2");
+  trial.moveRoute("strict", "s2");
   CHECK(alice->ask("EXECUTE p a") == "OK");
   CHECK(trial.runsOf("EXECUTE p a").back().database == "d4");
 }
--- a/tests/pooler_sends_test.cpp
+++ b/tests/pooler_sends_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace tamarindshift;
 
-TEST_CASE("pooler sends: a statement of a transaction is not passed if its lease ended while names were laid", "[pooler][sends]") {
+TEST_CASE("pooler sends: a transaction's statement is not sent if the lease ended while names were being prepared", "[pooler][sends]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   bool lease = GENERATE(true, false);
@@ -23,7 +23,7 @@
   CHECK(alice->ask("ROLLBACK") == "OK");
 }
 
-TEST_CASE("pooler sends: a COMMIT that was busy is not passed again once the lease or epoch is over", "[pooler][sends]") {
+TEST_CASE("pooler sends: a busy COMMIT is not sent again once the lease or epoch has ended", "[pooler][sends]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   bool lease = GENERATE(true, false);
@@ -44,7 +44,7 @@
   CHECK(trial.runsOf("COMMIT").size() == 4);
 }
 
-TEST_CASE("pooler sends: a promise inside a transaction ends it, so that nothing of it can be kept", "[pooler][sends]") {
+TEST_CASE("pooler sends: a fault that guarantees no effect ends the transaction, so that none of it can be committed", "[pooler][sends]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("BEGIN") == "OK");
@@ -58,7 +58,7 @@
   CHECK(trial.backEnds.at("d1").committed.empty());
 }
 
-TEST_CASE("pooler sends: a COMMIT that stays busy is refused with when to come back", "[pooler][sends]") {
+TEST_CASE("pooler sends: a COMMIT that stays busy is refused with a retry time", "[pooler][sends]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("BEGIN") == "OK");
@@ -71,7 +71,7 @@
   CHECK(trial.backEnds.at("d1").committed.empty());
 }
 
-TEST_CASE("pooler sends: names laid inside a transaction that was rolled back are laid anew", "[pooler][sends]") {
+TEST_CASE("pooler sends: names prepared inside a rolled-back transaction are prepared again", "[pooler][sends]") {
   PoolerTrial::Options options;
   options.share = 1;
   PoolerTrial trial(options);
--- a/tests/pooler_sessions_test.cpp
+++ b/tests/pooler_sessions_test.cpp
@@ -14,7 +14,7 @@
   return options;
 }
 
-std::size_t own(const PoolerTrial& trial, StatementKind kind) {
+std::size_t poolerStatements(const PoolerTrial& trial, StatementKind kind) {
   std::size_t count = 0;
   for (const auto& run : trial.backEnds.runs) count += run.statement.id.empty() && run.statement.kind == kind;
   return count;
@@ -37,38 +37,38 @@
   CHECK(trial.runsOf("READ a").back().values == std::map<std::string, std::string>{{"zone", "north"}});
   CHECK(trial.runsOf("READ b").back().values == std::map<std::string, std::string>{{"zone", "south"}});
   CHECK(trial.backEnds.at("d1").openings == 1);
-  CHECK(own(trial, StatementKind::reset) == 0);
-  CHECK(own(trial, StatementKind::set) == 6);
+  CHECK(poolerStatements(trial, StatementKind::reset) == 0);
+  CHECK(poolerStatements(trial, StatementKind::set) == 6);
 }
 
-TEST_CASE("pooler: a value that is held already is not set again", "[pooler][sessions]") {
+TEST_CASE("pooler: a value that the connection already has is not set again", "[pooler][sessions]") {
   PoolerTrial trial(oneConnection());
   auto alice = trial.client("alice");
   alice->ask("SET zone north");
   for (int turn = 0; turn < 4; ++turn) CHECK(alice->ask("READ a") == "OK");
   alice->ask("SET zone north");
   CHECK(alice->ask("READ a") == "OK");
-  CHECK(own(trial, StatementKind::set) == 1);
+  CHECK(poolerStatements(trial, StatementKind::set) == 1);
   alice->ask("SET zone east and west");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  CHECK(own(trial, StatementKind::set) == 2);
+  CHECK(poolerStatements(trial, StatementKind::set) == 2);
   CHECK(trial.runsOf("WRITE a 1").front().values.at("zone") == "east and west");
 }
 
-TEST_CASE("pooler: a connection with a value that the session has not is reset", "[pooler][sessions]") {
+TEST_CASE("pooler: a connection with a variable that the session does not have is reset", "[pooler][sessions]") {
   PoolerTrial trial(oneConnection());
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
   alice->ask("SET zone north");
   CHECK(alice->ask("READ a") == "OK");
   CHECK(bob->ask("READ b") == "OK");
-  CHECK(own(trial, StatementKind::reset) == 1);
+  CHECK(poolerStatements(trial, StatementKind::reset) == 1);
   CHECK(trial.runsOf("READ b").front().values.empty());
   CHECK(bob->ask("READ b") == "OK");
-  CHECK(own(trial, StatementKind::reset) == 1);
+  CHECK(poolerStatements(trial, StatementKind::reset) == 1);
 }
 
-TEST_CASE("pooler: values of a client that left are not seen by the next", "[pooler][sessions]") {
+TEST_CASE("pooler: a client does not see the values of an earlier, disconnected one", "[pooler][sessions]") {
   PoolerTrial trial(oneConnection());
   for (int visit = 0; visit < 3; ++visit) {
     auto guest = trial.client("guest" + std::to_string(visit));
@@ -91,8 +91,8 @@
     CHECK(bob->ask("EXECUTE p a x") == "OK");
   }
   CHECK(trial.backEnds.at("d1").committed.size() == 3);
-  CHECK(own(trial, StatementKind::discard) == 5);
-  CHECK(own(trial, StatementKind::reset) == 0);
+  CHECK(poolerStatements(trial, StatementKind::discard) == 5);
+  CHECK(poolerStatements(trial, StatementKind::reset) == 0);
 }
 
 TEST_CASE("pooler: an equal shape under an equal name is prepared once per connection", "[pooler][sessions]") {
@@ -105,7 +105,7 @@
     CHECK(alice->ask("EXECUTE p a") == "OK");
     CHECK(bob->ask("EXECUTE p b") == "OK");
   }
-  CHECK(own(trial, StatementKind::prepareRead) == 1);
+  CHECK(poolerStatements(trial, StatementKind::prepareRead) == 1);
 }
 
 TEST_CASE("pooler: a name that is prepared again or discarded changes for its session only", "[pooler][sessions]") {
@@ -124,7 +124,7 @@
   CHECK(bob->ask("EXECUTE p a") == "OK");
 }
 
-TEST_CASE("pooler: of several idle connections the one that needs the fewest steps is taken", "[pooler][sessions]") {
+TEST_CASE("pooler: of several idle connections the one whose state needs the fewest changes is taken", "[pooler][sessions]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
@@ -134,13 +134,13 @@
   auto second = bob->start("READ b");
   CHECK(alice->finish(first) == "OK");
   CHECK(bob->finish(second) == "OK");
-  auto sets = own(trial, StatementKind::set);
+  auto sets = poolerStatements(trial, StatementKind::set);
   CHECK(sets == 2);
   for (int turn = 0; turn < 4; ++turn) {
     CHECK(bob->ask("READ b") == "OK");
     CHECK(alice->ask("READ a") == "OK");
   }
-  CHECK(own(trial, StatementKind::set) == sets);
+  CHECK(poolerStatements(trial, StatementKind::set) == sets);
 }
 
 TEST_CASE("pooler: a rolled-back transaction that changed values leaves a connection that is reset", "[pooler][sessions]") {
@@ -152,9 +152,9 @@
   CHECK(alice->ask("SET zone south") == "OK");
   CHECK(alice->ask("READ a") == "OK");
   CHECK(alice->ask("ROLLBACK") == "OK");
-  CHECK(own(trial, StatementKind::reset) == 0);
+  CHECK(poolerStatements(trial, StatementKind::reset) == 0);
   CHECK(alice->ask("READ a") == "OK");
-  CHECK(own(trial, StatementKind::reset) == 1);
+  CHECK(poolerStatements(trial, StatementKind::reset) == 1);
 }
 
 TEST_CASE("pooler: a transaction that changed values and failed leaves a connection that is reset", "[pooler][sessions]") {
@@ -169,10 +169,10 @@
   CHECK(alice->ask("COMMIT") == "ABORTED");
   CHECK(alice->last->reply->state == TransactionState::idle);
   CHECK(alice->ask("READ a") == "OK");
-  CHECK(own(trial, StatementKind::reset) == 1);
+  CHECK(poolerStatements(trial, StatementKind::reset) == 1);
 }
 
-TEST_CASE("pooler: a transaction that changed values and was ended here leaves a connection that is reset", "[pooler][sessions]") {
+TEST_CASE("pooler: a transaction that changed values and was ended by the pooler leaves a connection that is reset", "[pooler][sessions]") {
   PoolerTrial trial(oneConnection());
   auto alice = trial.client("alice");
   bool rests = GENERATE(false, true);
@@ -185,7 +185,7 @@
     CHECK(alice->ask("EXECUTE nothing a") == "UNKNOWN");
   CHECK(alice->ask("ROLLBACK") == "OK");
   CHECK(alice->ask("READ a") == "OK");
-  CHECK(own(trial, StatementKind::reset) == 1);
+  CHECK(poolerStatements(trial, StatementKind::reset) == 1);
   CHECK(trial.backEnds.at("d1").openings == 1);
 }
 
@@ -197,8 +197,8 @@
   CHECK(alice->ask("WRITE a 1") == "OK");
   CHECK(alice->ask("COMMIT") == "OK");
   CHECK(alice->ask("READ a") == "OK");
-  CHECK(own(trial, StatementKind::reset) == 0);
-  CHECK(own(trial, StatementKind::set) == 1);
+  CHECK(poolerStatements(trial, StatementKind::reset) == 0);
+  CHECK(poolerStatements(trial, StatementKind::set) == 1);
 }
 
 TEST_CASE("pooler: a name unknown to the database is prepared again after a reset", "[pooler][sessions]") {
@@ -208,11 +208,11 @@
   CHECK(alice->ask("EXECUTE p a") == "OK");
   trial.backEnds.script("d1", StatementKind::execute, ScriptedOutcome::unknownName);
   CHECK(alice->ask("EXECUTE p a") == "OK");
-  CHECK(own(trial, StatementKind::reset) == 1);
-  CHECK(own(trial, StatementKind::prepareRead) == 2);
+  CHECK(poolerStatements(trial, StatementKind::reset) == 1);
+  CHECK(poolerStatements(trial, StatementKind::prepareRead) == 2);
 }
 
-TEST_CASE("pooler: a connection on which a step failed is not used", "[pooler][sessions]") {
+TEST_CASE("pooler: a connection whose session state could not be set is not used", "[pooler][sessions]") {
   PoolerTrial trial(oneConnection());
   auto alice = trial.client("alice");
   alice->ask("SET zone north");
@@ -222,7 +222,7 @@
   CHECK(trial.backEnds.at("d1").openings == 3);
 }
 
-TEST_CASE("pooler: clients that set, prepare and use transactions at random keep what is theirs", "[pooler][sessions][seeds]") {
+TEST_CASE("pooler: clients that set, prepare and use transactions at random keep their own state", "[pooler][sessions][seeds]") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     PoolerTrial::Options options;
     options.seed = seed;
--- a/tests/pooler_shares_test.cpp
+++ b/tests/pooler_shares_test.cpp
@@ -10,25 +10,25 @@
 
 struct SharesTrial : PoolerTrial {
   explicit SharesTrial(Options options) : PoolerTrial(options) {}
-  void crowd(std::size_t count) {
+  void addClients(std::size_t count) {
     for (std::size_t number = 0; number < count; ++number) {
-      crowded.push_back(client("c" + std::to_string(number)));
+      clients.push_back(client("c" + std::to_string(number)));
       asked.push_back(nullptr);
     }
   }
-  void press(Duration duration) {
+  void runLoad(Duration duration) {
     auto until = world.now() + duration;
     while (world.now() < until) {
-      for (std::size_t index = 0; index < crowded.size(); ++index)
-        if (!asked[index] || asked[index]->reply) asked[index] = crowded[index]->start("WRITE a " + std::to_string(index));
+      for (std::size_t index = 0; index < clients.size(); ++index)
+        if (!asked[index] || asked[index]->reply) asked[index] = clients[index]->start("WRITE a " + std::to_string(index));
       run(1ms);
     }
   }
-  std::vector<std::unique_ptr<TrialClient>> crowded;
+  std::vector<std::unique_ptr<TrialClient>> clients;
   std::vector<std::shared_ptr<ClientStatement>> asked;
 };
 
-SharesTrial::Options shareOf(std::uint32_t most) {
+SharesTrial::Options withShare(std::uint32_t most) {
   SharesTrial::Options options;
   options.share = most;
   return options;
@@ -36,26 +36,26 @@
 
 }  // namespace
 
-TEST_CASE("pooler shares: never more connections to a database than the share", "[pooler][shares]") {
-  SharesTrial trial(shareOf(3));
+TEST_CASE("pooler shares: the share bounds the connections to a database", "[pooler][shares]") {
+  SharesTrial trial(withShare(3));
   trial.backEnds.at("d1").runTime = 20ms;
-  trial.crowd(12);
-  trial.press(1s);
+  trial.addClients(12);
+  trial.runLoad(1s);
   CHECK(trial.backEnds.at("d1").peakConnections == 3);
   CHECK(trial.backEnds.at("d1").openings == 3);
 }
 
 TEST_CASE("pooler shares: without a share nothing is opened", "[pooler][shares]") {
-  SharesTrial trial(shareOf(0));
+  SharesTrial trial(withShare(0));
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "CONGESTED");
   for (const auto& [name, database] : trial.backEnds.databases()) CHECK(database.openings == 0);
 }
 
 TEST_CASE("pooler shares: idle connections are closed at once when the share shrinks", "[pooler][shares]") {
-  SharesTrial trial(shareOf(4));
-  trial.crowd(8);
-  trial.press(100ms);
+  SharesTrial trial(withShare(4));
+  trial.addClients(8);
+  trial.runLoad(100ms);
   trial.run(200ms);
   CHECK(trial.backEnds.at("d1").connections == 4);
   trial.publishShare(1);
@@ -66,8 +66,9 @@
   CHECK(trial.backEnds.at("d1").connections == 0);
 }
 
-TEST_CASE("pooler shares: busy ones beyond a smaller share are not used again, followed tells when they are gone", "[pooler][shares]") {
-  SharesTrial trial(shareOf(3));
+TEST_CASE("pooler shares: busy connections beyond a reduced share are not reused, and followed reports when they are closed",
+          "[pooler][shares]") {
+  SharesTrial trial(withShare(3));
   std::vector<std::unique_ptr<TrialClient>> holders;
   for (int number = 0; number < 3; ++number) {
     holders.push_back(trial.client("holder" + std::to_string(number)));
@@ -92,8 +93,8 @@
   CHECK(waiting->ask("READ b") == "OK");
 }
 
-TEST_CASE("pooler shares: one that becomes free beyond a smaller share goes to no one", "[pooler][shares]") {
-  SharesTrial trial(shareOf(3));
+TEST_CASE("pooler shares: a connection released beyond a reduced share is not granted again", "[pooler][shares]") {
+  SharesTrial trial(withShare(3));
   std::vector<std::unique_ptr<TrialClient>> holders;
   for (int number = 0; number < 3; ++number) {
     holders.push_back(trial.client("holder" + std::to_string(number)));
@@ -112,8 +113,8 @@
   CHECK(waiting->finish(asked) == "OK");
 }
 
-TEST_CASE("pooler shares: a connection that breaks off after the share has gone is not replaced", "[pooler][shares]") {
-  SharesTrial trial(shareOf(2));
+TEST_CASE("pooler shares: a connection lost after the share was removed is not replaced", "[pooler][shares]") {
+  SharesTrial trial(withShare(2));
   auto alice = trial.client("alice");
   trial.backEnds.at("d1").runTime = 200ms;
   auto asked = alice->start("WRITE a 1");
@@ -127,32 +128,32 @@
   CHECK(trial.backEnds.at("d1").openings == openings);
 }
 
-TEST_CASE("pooler shares: a larger share is used and followed at once", "[pooler][shares]") {
-  SharesTrial trial(shareOf(1));
+TEST_CASE("pooler shares: a larger share is used and reported as followed at once", "[pooler][shares]") {
+  SharesTrial trial(withShare(1));
   trial.backEnds.at("d1").runTime = 20ms;
-  trial.crowd(8);
-  trial.press(200ms);
+  trial.addClients(8);
+  trial.runLoad(200ms);
   CHECK(trial.backEnds.at("d1").peakConnections == 1);
   trial.publishShare(5);
-  trial.press(700ms);
+  trial.runLoad(700ms);
   CHECK(trial.backEnds.at("d1").connections == 5);
   CHECK(trial.serviceReport().followed == trial.updates.mark("s1"));
 }
 
-TEST_CASE("pooler shares: more is wanted when all is in use", "[pooler][shares]") {
-  SharesTrial trial(shareOf(2));
+TEST_CASE("pooler shares: a larger share is requested when all connections are in use", "[pooler][shares]") {
+  SharesTrial trial(withShare(2));
   trial.backEnds.at("d1").runTime = 50ms;
   trial.run(600ms);
   auto idle = trial.serviceReport().wanted.at(BranchName{"work"});
-  trial.crowd(10);
-  trial.press(1200ms);
+  trial.addClients(10);
+  trial.runLoad(1200ms);
   auto pressed = trial.serviceReport().wanted.at(BranchName{"work"});
   CHECK(idle >= 1);
   CHECK(pressed > 2);
 }
 
-TEST_CASE("pooler shares: one enrolled under another boot is not used", "[pooler][shares]") {
-  SharesTrial trial(shareOf(2));
+TEST_CASE("pooler shares: a share registered for another boot is not used", "[pooler][shares]") {
+  SharesTrial trial(withShare(2));
   NodeNews other;
   other.zone = Zone{"z1"};
   other.boot = 4;
@@ -163,14 +164,13 @@
   CHECK(trial.backEnds.at("d1").connections == 0);
 }
 
-TEST_CASE("pooler shares: whatever they become, connections grow only within them and followed tells the truth",
-          "[pooler][shares][seeds]") {
+TEST_CASE("pooler shares: under random changes connections grow only within the share and followed is correct", "[pooler][shares][seeds]") {
   for (std::uint64_t seed = 300; seed < 308; ++seed) {
-    auto options = shareOf(3);
+    auto options = withShare(3);
     options.seed = seed;
     SharesTrial trial(options);
     INFO("seed " << seed);
-    trial.crowd(8);
+    trial.addClients(8);
     std::map<std::uint64_t, std::uint32_t> shareAt{{trial.updates.mark("s1"), 3}};
     std::uint32_t share = 3;
     std::size_t reports = trial.reports.size();
@@ -185,7 +185,7 @@
       }
       if (trial.world.chance(10)) trial.backEnds.at("d1").runTime = std::chrono::milliseconds{1 + trial.world.below(60)};
       if (trial.world.chance(5)) trial.backEnds.closeConnections("d1");
-      trial.press(1ms);
+      trial.runLoad(1ms);
       auto now = trial.backEnds.at("d1").connections;
       if (now > before) CHECK(now <= share);
       before = now;
--- a/tests/pooler_slow_replica_test.cpp
+++ b/tests/pooler_slow_replica_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace tamarindshift;
 
-TEST_CASE("pooler reads: a replica that was slow for a while is read again", "[pooler][mended]") {
+TEST_CASE("pooler reads: a replica that was slow for a while gets reads again", "[pooler][mended]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
--- a/tests/pooler_status_test.cpp
+++ b/tests/pooler_status_test.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("pooler status: what waits is counted by precedence with the longest wait", "[pooler][status]") {
+TEST_CASE("pooler status: waiting statements are counted by precedence with the longest wait", "[pooler][status]") {
   PoolerTrial::Options options;
   options.share = 1;
   PoolerTrial trial(options);
@@ -44,7 +44,7 @@
   CHECK(trial.pooler->status().at("queue").empty());
 }
 
-TEST_CASE("pooler status: a database that is not used has its reasons", "[pooler][status]") {
+TEST_CASE("pooler status: a database that is not used is listed with the reasons", "[pooler][status]") {
   PoolerTrial trial;
   CHECK_FALSE(database(trial, "d2").contains("unused"));
   trial.publishDrained("d2");
@@ -61,7 +61,7 @@
   trial.run(2s);
 }
 
-TEST_CASE("pooler status: a service that waits says for what", "[pooler][status]") {
+TEST_CASE("pooler status: an unavailable service is listed with the reasons", "[pooler][status]") {
   PoolerTrial trial;
   CHECK_FALSE(service(trial).contains("waits"));
   CHECK(service(trial).at("lease_ms") == 2000);
@@ -74,7 +74,7 @@
   CHECK(service(trial).at("waits").at(0) == "no current lease");
 }
 
-TEST_CASE("pooler status: a node without a share says why", "[pooler][status]") {
+TEST_CASE("pooler status: a node without a share states the reason", "[pooler][status]") {
   PoolerTrial trial;
   CHECK_FALSE(service(trial).contains("shareless"));
   trial.publishShare(0);
--- a/tests/pooler_transactions_test.cpp
+++ b/tests/pooler_transactions_test.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-TEST_CASE("pooler transactions: BEGIN goes with the first statement, all on one connection", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: BEGIN is sent with the first statement, all on one connection", "[pooler][transactions]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("BEGIN") == "OK");
@@ -35,7 +35,8 @@
   CHECK(trial.backEnds.at("d1").committed.size() == 1);
 }
 
-TEST_CASE("pooler transactions: others never run inside one, also with no other connection", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: statements of others never run inside one, even if there is no other connection",
+          "[pooler][transactions]") {
   PoolerTrial trial(oneConnection());
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
@@ -49,7 +50,7 @@
   CHECK(trial.backEnds.at("d1").committed.size() == 2);
 }
 
-TEST_CASE("pooler transactions: one that reads only goes to a replica, BEGIN carries AFTER", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: a read-only one goes to a replica, and its BEGIN carries AFTER", "[pooler][transactions]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob", "bounded");
@@ -80,7 +81,7 @@
   CHECK_FALSE(trial.runsOf("BEGIN").front().minPosition);
 }
 
-TEST_CASE("pooler transactions: one without statements costs no connection until its COMMIT", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: one without statements needs no connection until its COMMIT", "[pooler][transactions]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
@@ -92,7 +93,7 @@
   CHECK(trial.runsOf("COMMIT").size() == 1);
 }
 
-TEST_CASE("pooler transactions: ROLLBACK is answered here, the connection is rolled back and kept", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: the pooler answers ROLLBACK itself; the connection is rolled back and kept", "[pooler][transactions]") {
   PoolerTrial trial(oneConnection());
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
@@ -104,7 +105,7 @@
   CHECK(trial.backEnds.at("d1").committed.empty());
 }
 
-TEST_CASE("pooler transactions: a client gone midway is rolled back and its connection kept", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: one whose client disconnects is rolled back and its connection kept", "[pooler][transactions]") {
   PoolerTrial trial(oneConnection());
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
@@ -120,7 +121,7 @@
   CHECK(trial.pooler->sessions() == 1);
 }
 
-TEST_CASE("pooler transactions: one that wrote and was lost at the end of a statement is not committed", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: one that wrote and then lost a reply is not committed", "[pooler][transactions]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
@@ -133,7 +134,7 @@
   CHECK(trial.backEnds.at("d1").committed.empty());
 }
 
-TEST_CASE("pooler transactions: a BEGIN that was not run is tried again within the hold", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: a BEGIN that was not run is retried within the wait", "[pooler][transactions]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto outcome = GENERATE(ScriptedOutcome::busy, ScriptedOutcome::readOnly, ScriptedOutcome::lostBeforeRunning,
@@ -145,7 +146,7 @@
   CHECK(alice->ask("COMMIT") == "OK");
 }
 
-TEST_CASE("pooler transactions: a busy statement inside is tried again on the same connection", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: a busy statement inside one is retried on the same connection", "[pooler][transactions]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
@@ -156,7 +157,8 @@
   CHECK(trial.runsOf("WRITE a 1").size() == 4);
 }
 
-TEST_CASE("pooler transactions: a statement that the database refuses fails the transaction with its word", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: a statement that the database refuses fails the transaction with the database's fault",
+          "[pooler][transactions]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
@@ -168,7 +170,7 @@
   CHECK(trial.backEnds.at("d1").committed.empty());
 }
 
-TEST_CASE("pooler transactions: one that rests too long is ended, the connection serves others", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: one that is idle too long is ended and its connection serves others", "[pooler][transactions]") {
   PoolerTrial trial(oneConnection());
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
@@ -182,7 +184,7 @@
   CHECK(trial.backEnds.at("d1").openings == 1);
 }
 
-TEST_CASE("pooler transactions: pauses below the limit end none", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: idle times below the limit end none", "[pooler][transactions]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
@@ -194,7 +196,7 @@
   CHECK(trial.backEnds.at("d1").committed.size() == 4);
 }
 
-TEST_CASE("pooler transactions: none goes on without a lease", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: none continues without a lease", "[pooler][transactions]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   alice->ask("BEGIN");
@@ -206,7 +208,7 @@
   CHECK(trial.backEnds.at("d1").committed.empty());
 }
 
-TEST_CASE("pooler transactions: a drained database gets no new one and finishes the open ones", "[pooler][transactions]") {
+TEST_CASE("pooler transactions: a drained database gets no new one and open ones may finish", "[pooler][transactions]") {
   PoolerTrial trial;
   auto warm = trial.client("warm");
   CHECK(warm->ask("WRITE a 1") == "OK");
--- a/tests/pooler_trial.cpp
+++ b/tests/pooler_trial.cpp
@@ -94,9 +94,10 @@
       return run.statement.id == asked.id && run.ran && run.stamp == reply.stamp;
     };
     if (std::none_of(trial_.backEnds.runs.begin(), trial_.backEnds.runs.end(), same))
-      trial_.violations.push_back("a success without the database's stamp: " + asked.id);
+      trial_.violations.push_back("success without the database's completion tag: " + asked.id);
   }
-  if (succeeded && !atDatabase && reply.stamp != "-") trial_.violations.push_back("an own answer with a stamp: " + asked.id);
+  if (succeeded && !atDatabase && reply.stamp != "-")
+    trial_.violations.push_back("reply of the pooler itself with a completion tag: " + asked.id);
   if (succeeded && ((single && writes) || statement.kind == StatementKind::commit)) {
     for (const auto& id : writes_) trial_.acknowledgedWrites_[id] = asked.id;
     if (!writes_.empty()) trial_.acknowledged_.emplace_back(trial_.world.now(), trial_.positions_[asked.id]);
@@ -166,9 +167,9 @@
   for (const auto& [id, count] : times)
     if (count > 1) violations.push_back("committed twice: " + id);
   for (const auto& id : mustNotCommit_)
-    if (times.contains(id)) violations.push_back("kept against a promise: " + id);
+    if (times.contains(id)) violations.push_back("committed although the reply guaranteed no effect: " + id);
   for (const auto& [id, by] : acknowledgedWrites_)
-    if (!times.contains(id)) violations.push_back("acknowledged and not committed: " + id + " by " + by);
+    if (!times.contains(id)) violations.push_back("acknowledged but not committed: " + id + " by " + by);
 }
 
 void PoolerTrial::observe(const ScriptedRun& run) {
@@ -182,17 +183,17 @@
   };
   bool read = run.statement.kind == StatementKind::read || run.statement.kind == StatementKind::execute;
   bool begins = run.statement.kind == StatementKind::begin || run.statement.kind == StatementKind::beginRead;
-  if (!begins && run.statement.kind != StatementKind::commit && run.values != client.values_) violate("other values than the client's");
+  if (!begins && run.statement.kind != StatementKind::commit && run.values != client.values_) violate("variables differ from the client's");
   if (run.statement.kind == StatementKind::execute) {
     auto held = run.prepared.find(run.statement.name);
     auto own = client.prepared_.find(run.statement.name);
     if (held == run.prepared.end() || own == client.prepared_.end() || held->second != own->second)
-      violate("another shape than the client's");
+      violate("prepared statement differs from the client's");
   }
-  if (client.inTransaction_ != run.inTransaction && !begins) violate("not where the client's transaction is");
+  if (client.inTransaction_ != run.inTransaction && !begins) violate("transaction state differs from the client's");
   if (client.inTransaction_) {
     if (client.pinned_ == 0 || begins) client.pinned_ = run.connection;
-    if (client.pinned_ != run.connection) violate("on another connection than the transaction");
+    if (client.pinned_ != run.connection) violate("not on the connection of its transaction");
   }
   if (!read) return;
   auto consistency = kinds.contains(KindName{client.host_}) ? kinds.at(KindName{client.host_}).consistency : Consistency::primary;
--- a/tests/pooler_trial.hpp
+++ b/tests/pooler_trial.hpp
@@ -1,3 +1,4 @@
+/// Test fixture: one pooler on simulated time, with scripted databases and scripted updates of the control plane.
 #pragma once
 
 #include <memory>
@@ -10,6 +11,7 @@
 
 namespace tamarindshift {
 
+/// A statement that a test client has sent, with its reply once there is one.
 struct ClientStatement {
   std::string id;
   std::string text;
@@ -17,20 +19,24 @@
   Instant repliedAt{};
   std::optional<StatementReply> reply;
   Duration elapsed() const { return repliedAt - sentAt; }
+  /// OK, the wire word of the fault, or "no reply".
   std::string outcome() const;
 };
 
 class PoolerTrial;
 
-// a client with the values, prepared names and transaction that it was acknowledged
+/// A client that keeps the variables, prepared names and transaction state that the pooler has acknowledged, and checks each
+/// reply against them.
 class TrialClient {
  public:
   TrialClient(PoolerTrial& trial, std::string name, const std::string& host);
   ~TrialClient();
-  // OK or the word of the fault
+  /// Sends a statement and runs until its reply: OK or the wire word of the fault.
   std::string ask(const std::string& text);
+  /// Sends a statement without waiting.
   std::shared_ptr<ClientStatement> start(const std::string& text);
   std::string finish(const std::shared_ptr<ClientStatement>& asked);
+  /// Disconnects.
   void leave();
   const std::string& name() const { return name_; }
 
@@ -55,8 +61,8 @@
   std::uint64_t lastNumber_ = 0;
 };
 
-// One pooler on simulated time with scripted databases and news. Whatever a test asks, the databases must have run
-// it as the clients' acknowledged state says, and promises given to clients must hold.
+/// Besides what a test itself checks, every statement must run at a database with the acknowledged state of its client, no read
+/// may be staler than its route allows, and at the end acknowledged writes must be committed once and refused ones not at all.
 class PoolerTrial {
  public:
   struct Options {
@@ -73,23 +79,25 @@
   bool runUntil(Duration atMost, const std::function<bool()>& reached);
   std::unique_ptr<TrialClient> client(const std::string& name, const std::string& host = "strict");
 
+  /// Each `publish...` puts an update of the control plane before the pooler.
   void publishFleet();
   void publishService(const std::string& name = "s1");
   void publishPrimary(std::uint64_t epoch, const std::string& name, bool promoted, bool planned = false, const std::string& service = "s1");
   void publishShare(std::uint32_t most, const std::string& service = "s1");
   void publishDatabase(const std::string& name, const std::string& zone = "z1", const std::string& service = "s1");
   void publishDrained(const std::string& name);
-  // the database itself is primary from now on, of a new term
+  /// Makes the scripted database the primary, of a new term; publishes nothing.
   void makePrimary(const std::string& name);
   void addRoute(const std::string& name, Consistency consistency, std::uint32_t order = 1);
   void endLease() { updates.endLease("s1"); }
   void renewLease() { updates.renewLease("s1"); }
 
   std::vector<ScriptedRun> runsOf(const std::string& text) const;
+  /// How often the statement was committed, over all databases.
   std::size_t committed(const std::string& id) const;
   std::vector<std::string> idsOf(const std::string& text) const;
   const NodeReport& report() const { return reports.back(); }
-  // what was last told of the service; a report may leave out what has not changed
+  /// The last report of the service; later ones may leave it out if it has not changed.
   const ServiceReport& serviceReport() const;
   std::uint64_t counterValue(const std::string& name) const;
 
@@ -111,6 +119,7 @@
   void checkPromises();
 
   std::map<std::string, TrialClient*> clients_;
+  /// When commits were acknowledged, with their log positions.
   std::vector<std::pair<Instant, Place>> acknowledged_;
   std::map<std::string, std::string> acknowledgedWrites_;
   std::set<std::string> mustNotCommit_;
--- a/tests/pooler_holds_test.cpp
+++ b/tests/pooler_waits_test.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-TEST_CASE("pooler holds: at most 45% of the statement's bound, then CONGESTED with when to come back", "[pooler][holds]") {
+TEST_CASE("pooler waits: at most 45% of the statement's timeout, then CONGESTED with a retry time", "[pooler][waits]") {
   PoolerTrial trial(oneConnection());
   auto bound = GENERATE(400ms, 1000ms, 2000ms);
   trial.kinds[KindName{"strict"}].statement = bound;
@@ -41,7 +41,7 @@
   CHECK(bob->ask("READ b") == "OK");
 }
 
-TEST_CASE("pooler holds: precedence decides who gets the next connection, then arrival", "[pooler][holds]") {
+TEST_CASE("pooler waits: the next connection goes by precedence, then by arrival", "[pooler][waits]") {
   PoolerTrial trial(oneConnection());
   trial.addRoute("low", Consistency::primary, 2);
   trial.addRoute("high", Consistency::primary, 0);
@@ -67,7 +67,7 @@
         std::vector<std::string>{"READ held", "READ high1", "READ high2", "READ strict1", "READ strict2", "READ low1", "READ low2"});
 }
 
-TEST_CASE("pooler holds: a waiting statement runs as soon as a connection is free", "[pooler][holds]") {
+TEST_CASE("pooler waits: a waiting statement runs as soon as a connection is free", "[pooler][waits]") {
   PoolerTrial trial(oneConnection());
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
@@ -80,7 +80,7 @@
   CHECK(second->elapsed() <= 200ms);
 }
 
-TEST_CASE("pooler holds: a waiting statement is not offered again after its answer", "[pooler][holds]") {
+TEST_CASE("pooler waits: a statement does not run after it was refused", "[pooler][waits]") {
   PoolerTrial trial(oneConnection());
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
@@ -93,7 +93,7 @@
   CHECK(trial.pooler->waiting() == 0);
 }
 
-TEST_CASE("pooler holds: tries that were busy do not lengthen the hold", "[pooler][holds]") {
+TEST_CASE("pooler waits: busy attempts do not extend the wait", "[pooler][waits]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   for (int times = 0; times < 100; ++times) trial.backEnds.script("d1", StatementKind::read, ScriptedOutcome::busy);
@@ -102,7 +102,7 @@
   CHECK(alice->last->elapsed() <= 550ms);
 }
 
-TEST_CASE("pooler holds: a connection that hangs at open costs no more than the hold", "[pooler][holds]") {
+TEST_CASE("pooler waits: a connection that hangs while it is opened costs no more than the wait", "[pooler][waits]") {
   PoolerTrial trial;
   trial.backEnds.at("d1").opening = ScriptedOpening::hangs;
   auto alice = trial.client("alice");
@@ -110,7 +110,7 @@
   CHECK(alice->last->elapsed() <= 460ms);
 }
 
-TEST_CASE("pooler holds: connections are not opened again and again where none is to be had", "[pooler][holds]") {
+TEST_CASE("pooler waits: attempts to open connections are limited while the database accepts none", "[pooler][waits]") {
   PoolerTrial trial;
   auto opening = GENERATE(ScriptedOpening::refused, ScriptedOpening::overloaded);
   trial.backEnds.at("d1").opening = opening;
--- a/tests/pooler_writes_test.cpp
+++ b/tests/pooler_writes_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace tamarindshift;
 
-TEST_CASE("pooler writes: one whose reply was lost is not sent again", "[pooler][writes]") {
+TEST_CASE("pooler writes: a write whose reply was lost is not sent again", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.backEnds.script("d1", StatementKind::write, ScriptedOutcome::lostAfterRunning);
@@ -16,7 +16,7 @@
   CHECK(trial.committed(alice->last->id) == 1);
 }
 
-TEST_CASE("pooler writes: one on a connection that turned out to be closed goes over another", "[pooler][writes]") {
+TEST_CASE("pooler writes: a write on a connection found closed is sent over another", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 0") == "OK");
@@ -26,7 +26,8 @@
   CHECK(trial.backEnds.at("d1").openings == 2);
 }
 
-TEST_CASE("pooler writes: one that is cut at a change of primary has an unknown outcome and stays where it was", "[pooler][writes]") {
+TEST_CASE("pooler writes: a write interrupted by a change of primary has an unknown outcome and is not sent to the new one",
+          "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.backEnds.at("d1").runTime = 300ms;
@@ -43,7 +44,7 @@
   CHECK(trial.runsOf("WRITE a 2").front().database == "d2");
 }
 
-TEST_CASE("pooler writes: one that was busy or met a replica is tried again within the hold", "[pooler][writes]") {
+TEST_CASE("pooler writes: a write refused as busy or read-only is retried within the wait", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto outcome = GENERATE(ScriptedOutcome::busy, ScriptedOutcome::readOnly);
@@ -54,7 +55,7 @@
   CHECK(alice->last->elapsed() < 200ms);
 }
 
-TEST_CASE("pooler writes: one that stays busy is answered after the hold with when to come back", "[pooler][writes]") {
+TEST_CASE("pooler writes: a write that stays busy is answered after the wait with a retry time", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto outcome = GENERATE(ScriptedOutcome::busy, ScriptedOutcome::readOnly);
@@ -70,7 +71,7 @@
   CHECK(trial.runsOf("WRITE a 1").size() == tries);
 }
 
-TEST_CASE("pooler writes: the same text is kept byte for byte at every try", "[pooler][writes]") {
+TEST_CASE("pooler writes: every attempt sends the same text byte for byte", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.backEnds.script("d1", StatementKind::write, ScriptedOutcome::busy);
@@ -82,7 +83,7 @@
   CHECK(runs[1].statement.id == alice->last->id);
 }
 
-TEST_CASE("pooler writes: none is passed once the lease is over", "[pooler][writes]") {
+TEST_CASE("pooler writes: none is sent once the lease has ended", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 0") == "OK");
@@ -95,7 +96,7 @@
   CHECK(trial.runsOf("WRITE a 1").empty());
 }
 
-TEST_CASE("pooler writes: none is passed to a former primary once the change is known", "[pooler][writes]") {
+TEST_CASE("pooler writes: none is sent to a former primary once the change is known", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 0") == "OK");
@@ -114,7 +115,7 @@
   CHECK(runs.front().database == "d2");
 }
 
-TEST_CASE("pooler writes: one without a promoted primary waits for it and runs once", "[pooler][writes]") {
+TEST_CASE("pooler writes: without a promoted primary a write waits for it and runs once", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.publishPrimary(2, "d2", false);
@@ -128,7 +129,7 @@
   CHECK(trial.runsOf("WRITE a 1").size() == 1);
 }
 
-TEST_CASE("pooler writes: whatever happens to connections, no write runs twice and promises hold", "[pooler][writes][seeds]") {
+TEST_CASE("pooler writes: no write runs twice and guarantees hold under random faults of connections", "[pooler][writes][seeds]") {
   for (std::uint64_t seed = 100; seed < 112; ++seed) {
     PoolerTrial::Options options;
     options.seed = seed;
--- a/tests/scripted_back_ends.cpp
+++ b/tests/scripted_back_ends.cpp
@@ -127,8 +127,9 @@
                  statement.kind == StatementKind::discard || statement.kind == StatementKind::prepareRead ||
                  statement.kind == StatementKind::prepareWrite;
   if (connection.state == TransactionState::failed && statement.kind != StatementKind::rollback && statement.kind != StatementKind::commit)
-    return violate("a statement in a failed transaction");
-  if (open && !statement.id.empty() && ownerOf(statement.id) != connection.owner) return violate("a statement in another's transaction");
+    return violate("statement in a failed transaction");
+  if (open && !statement.id.empty() && ownerOf(statement.id) != connection.owner)
+    return violate("statement in the transaction of another client");
   if (!control && !statement.id.empty() && run.minPosition && database.logPosition < *run.minPosition) return StatementFault::behind;
   switch (statement.kind) {
     case StatementKind::begin:
@@ -143,7 +144,7 @@
       break;
     case StatementKind::commit:
     case StatementKind::rollback: {
-      if (!open) return violate("an end without a transaction");
+      if (!open) return violate("COMMIT or ROLLBACK without a transaction");
       if (statement.kind == StatementKind::commit && !database.primary && !connection.written.empty()) return StatementFault::readOnly;
       bool keeps = statement.kind == StatementKind::commit && connection.state == TransactionState::open;
       auto ids = std::exchange(connection.written, {});
@@ -161,11 +162,11 @@
       break;
     case StatementKind::prepareRead:
     case StatementKind::prepareWrite:
-      if (connection.prepared.contains(statement.name)) return violate("PREPARE of a name that exists");
+      if (connection.prepared.contains(statement.name)) return violate("PREPARE of a name that is already prepared");
       connection.prepared[statement.name] = PreparedStatement{statement.kind == StatementKind::prepareWrite, statement.value};
       break;
     case StatementKind::discard:
-      if (connection.prepared.erase(statement.name) == 0) return violate("DISCARD of no name");
+      if (connection.prepared.erase(statement.name) == 0) return violate("DISCARD of a name that is not prepared");
       break;
     case StatementKind::reset:
       if (open) return violate("RESET in a transaction");
@@ -232,7 +233,8 @@
     close(*connection);
     co_return reply;
   }
-  if (std::exchange(connection->running, true)) violations.push_back("two statements at once: " + statement.id + " " + statement.text);
+  if (std::exchange(connection->running, true))
+    violations.push_back("two statements at once on a connection: " + statement.id + " " + statement.text);
   auto number = runs.size();
   runs.push_back(ScriptedRun{number,
                              connection->number,
--- a/tests/scripted_back_ends.hpp
+++ b/tests/scripted_back_ends.hpp
@@ -1,3 +1,4 @@
+/// Scripted databases behind a BackEndConnector, for tests of the pooler.
 #pragma once
 
 #include <deque>
@@ -10,7 +11,8 @@
 
 namespace tamarindshift {
 
-// what a scripted database does with a statement; at `unsent` the connection turns out to be closed
+/// What a scripted database does with a statement. `unsent`: the connection is found to be closed; `silent`: the statement runs
+/// and no reply comes.
 enum class ScriptedOutcome {
   busy,
   behind,
@@ -27,6 +29,7 @@
 
 enum class ScriptedOpening { accepted, refused, overloaded, misdirected, hangs };
 
+/// A statement that reached a database, with the state it met there.
 struct ScriptedRun {
   std::uint64_t number = 0;
   std::uint64_t connection = 0;
@@ -47,13 +50,18 @@
   bool primary = false;
   Place logPosition;
   Duration runTime = 5ms;
+  /// Added to `runTime` at the outcome `slow`.
   Duration slowDelay = 300ms;
   Duration openTime = 2ms;
+  /// Between a commit at the primary and its arrival here.
   Duration lag = 2ms;
+  /// Whether it receives the commits of the primary.
   bool replicates = true;
+  /// Neither opens connections nor replies.
   bool unresponsive = false;
-  // values and names laid in a transaction go with its rollback
+  /// Whether a rollback undoes the variables and prepared names set in its transaction.
   bool rollbackRestoresState = false;
+  /// Outcomes of the next statements of each kind; a statement without one succeeds.
   std::map<StatementKind, std::deque<ScriptedOutcome>> next;
   ScriptedOpening opening = ScriptedOpening::accepted;
   std::uint32_t connections = 0;
@@ -73,11 +81,12 @@
   ScriptedDatabase& at(const std::string& name) { return databases_.at(name); }
   const std::map<std::string, ScriptedDatabase>& databases() const { return databases_; }
   void script(const std::string& name, StatementKind kind, ScriptedOutcome outcome) { at(name).next[kind].push_back(outcome); }
-  // closes all connections of a database from its side
+  /// Closes all connections of a database from its side.
   void closeConnections(const std::string& name);
   Task<BackEndOpenResult> open(DatabaseTarget target, Instant deadline) override;
 
   std::vector<ScriptedRun> runs;
+  /// Breaches of the protocol by the pooler.
   std::vector<std::string> violations;
   std::function<void(const ScriptedRun&)> onRun;
 
--- a/tests/scripted_databases.hpp
+++ b/tests/scripted_databases.hpp
@@ -1,3 +1,4 @@
+/// Scripted databases behind DatabaseControl, for tests of the control plane: heartbeats, status, demotion and promotion.
 #pragma once
 
 #include <functional>
@@ -15,19 +16,23 @@
   struct Database {
     DatabaseHeartbeat heartbeat;
     Place logPosition;
-    /// The newest term it knows of, where that is above the one of its log.
+    /// The newest term that it knows of, if above that of its log.
     Epoch newestTerm;
+    /// Whether the process runs.
     bool up = true;
+    /// Neither answers calls nor sends heartbeats.
     bool unresponsive = false;
+    /// Answers calls but sends no heartbeats.
     bool heartbeatsStopped = false;
     PromotionOutcome promotion = PromotionOutcome::accepted;
+    /// Whether it becomes primary some time after accepting a promotion.
     bool promotesWhenAccepted = true;
     std::uint64_t statusCalls = 0;
     std::uint64_t promoteCalls = 0;
     std::vector<Epoch> demotedWith;
     Instant demotedAt{};
     Instant promotedAt{};
-    /// When it last began to lead by a promotion.
+    /// When it last became primary by a promotion.
     Instant becamePrimaryAt{};
     Epoch term() const { return std::max(newestTerm, logPosition.epoch); }
   };
@@ -36,7 +41,7 @@
   ScriptedDatabases(Clock& clock, Deliver deliver) : clock_(clock), deliver_(std::move(deliver)) {}
   Database& at(const std::string& name) { return databases_.at(DatabaseName{name}); }
   void add(const DatabaseHeartbeat& heartbeat, Place logPosition);
-  // a database that never sent a heartbeat and answers nothing
+  /// Adds a database that sends no heartbeat and answers no call.
   void addUnresponsive(const std::string& name) { databases_[DatabaseName{name}].unresponsive = true; }
   void sendHeartbeat(const std::string& name);
   std::uint64_t statusCalls() const;
--- a/tests/scripted_line.hpp
+++ b/tests/scripted_line.hpp
@@ -1,3 +1,4 @@
+/// A LineConnection in memory.
 #pragma once
 
 #include <deque>
@@ -7,7 +8,7 @@
 
 namespace tamarindshift {
 
-// a line connection in memory whose far end is the test
+/// The test is the peer.
 class ScriptedLine : public LineConnection {
  public:
   explicit ScriptedLine(Clock& clock) : clock_(clock) {}
@@ -32,7 +33,7 @@
     arrived_.open();
   }
 
-  // what comes without CR LF before the end is a line that broke off
+  /// Receives bytes; what is not followed by CR LF stays an incomplete line.
   void arrive(const std::string& bytes) {
     held_ += bytes;
     for (auto end = held_.find("\r\n"); end != std::string::npos; end = held_.find("\r\n")) {
@@ -46,6 +47,7 @@
     arrived_.open();
   }
   bool closed() const { return !open_; }
+  /// What was written since the last call.
   std::string takeWritten() { return std::exchange(written, {}); }
 
   std::string written;
--- a/tests/scripted_updates.hpp
+++ b/tests/scripted_updates.hpp
@@ -1,3 +1,4 @@
+/// Updates of the control plane that a test publishes itself.
 #pragma once
 
 #include <set>
@@ -7,7 +8,7 @@
 
 namespace tamarindshift {
 
-// news that a test publishes itself, under a lease that goes on until the test ends it
+/// Topics are leased until the test ends their leases.
 class ScriptedUpdates : public NewsFeed {
  public:
   explicit ScriptedUpdates(Clock& clock) : clock_(clock) {}
@@ -21,7 +22,7 @@
   const NewsBoard& board() const override { return board_; }
   Gate& changed() override { return board_.changed(); }
   Instant coreRepliedAt() const override { return replicasReply ? clock_.now() : NewsFeed::coreRepliedAt(); }
-  /// Replicas reply, with a lease or without one.
+  /// Whether the replicas reply, regardless of leases.
   bool replicasReply = false;
 
   template <class Value>
