--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -60,7 +60,7 @@
 TEST_CASE("a late heartbeat alters nothing, one with a lower number after three silent seconds does") {
   Discovered cluster;
   auto& own = cluster.databases.at("d2");
-  own.silent = true;
+  own.heartbeatsStopped = true;
   auto late = own.heartbeat;
   late.number -= 1;
   late.role = "primary";
@@ -83,7 +83,7 @@
   ++own.heartbeat.number;
   CHECK(cluster.ask(cluster.replica(2).heartbeat(own.heartbeat)).status == 200);
   CHECK(cluster.replica(2).state().drained(ServiceName{"s1"}, DatabaseName{"d3"}));
-  own.silent = true;
+  own.heartbeatsStopped = true;
   ++own.heartbeat.number;
   CHECK(cluster.ask(cluster.replica(1).detach(own.heartbeat)).status == 200);
   REQUIRE(cluster.runUntil(2s, [&] {
@@ -204,7 +204,7 @@
   CHECK(cluster.service().planned);
   cluster.run(600ms);
   CHECK(former.demotedWith.empty());
-  former.place.position = Position{120};
+  former.logPosition.position = Position{120};
   cluster.follows = true;
   REQUIRE(cluster.runUntil(1s, [&] {
     return !former.demotedWith.empty();
--- a/tests/failure_log_test.cpp
+++ b/tests/failure_log_test.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("failures: a statement without a lease is told with its cause, its id and how long it was held") {
+TEST_CASE("failures: a statement without a lease is listed with its cause, its id and its waiting time") {
   PoolerTrial trial;
   auto client = trial.client("a");
   REQUIRE(client->ask("READ x") == "OK");
@@ -41,7 +41,7 @@
   CHECK(failure["waited_ms"] == failure["held_ms"]);
 }
 
-TEST_CASE("failures: the attempts of a statement at databases are told one by one") {
+TEST_CASE("failures: the attempts of a statement at databases are listed one by one") {
   PoolerTrial trial;
   auto client = trial.client("a");
   REQUIRE(client->ask("WRITE x 1") == "OK");
@@ -53,7 +53,7 @@
   CHECK(failure["fault"] == "unknown_outcome");
 }
 
-TEST_CASE("failures: a time of failing is two lines and a sum, not a line each") {
+TEST_CASE("failures: a period of failures is logged as two lines and a total, not as a line each") {
   std::vector<std::string> lines;
   SimulatedJournal journal("node", [&](const std::string& text) {
     lines.push_back(text);
@@ -79,7 +79,7 @@
   CHECK(log.json(at, "1").empty());
 }
 
-TEST_CASE("failures: reasons in a database's own words do not grow the sums without end") {
+TEST_CASE("failures: free-text reasons of a database do not grow the totals without bound") {
   SimulatedJournal journal("node", [](const std::string&) {});
   FailureLog log(journal);
   for (int index = 0; index < 1000; ++index) {
@@ -114,7 +114,7 @@
   CHECK(all.find("tamarindshift_invariant_violations_total{invariant=\"work-under-lease\"} 0") != std::string::npos);
 }
 
-TEST_CASE("failures: whatever bytes clients and databases send, the list stays text and small") {
+TEST_CASE("failures: whatever bytes clients and databases send, the list stays printable and bounded") {
   std::vector<std::string> lines;
   SimulatedJournal journal("node", [&](const std::string& text) {
     lines.push_back(text);
@@ -140,7 +140,7 @@
   CHECK(held < (1 << 17));
 }
 
-TEST_CASE("failures: a client that sends bytes that are no text does not keep the list from being read") {
+TEST_CASE("failures: bytes from a client that are not text do not make the list unreadable") {
   PoolerTrial trial;
   auto client = trial.client("a");
   REQUIRE(client->ask("READ x") == "OK");
--- a/tests/former_primary_test.cpp
+++ b/tests/former_primary_test.cpp
@@ -12,7 +12,7 @@
   explicit FormerPrimary(std::uint32_t syncReplicas = 0) : DiscoveredCluster(syncReplicas) {
     own().working = true;
     auto& former = databases.at("d1");
-    former.dark = true;
+    former.unresponsive = true;
     own().suspects = {DatabaseName{"d1"}};
     REQUIRE(runUntil(5s, [&] {
       return promoted("d2");
@@ -57,7 +57,7 @@
   REQUIRE(cluster.promotedWhileTelling(15s));
   const auto& former = cluster.databases.at("d1");
   CHECK(former.promoteCalls == 1);
-  CHECK(former.ledAt > former.promotedAt);
+  CHECK(former.becamePrimaryAt > former.promotedAt);
   CHECK(former.term() > cluster.databases.at("d2").term());
   CHECK(cluster.service().ledTerm == former.term());
 }
--- a/tests/invariant_test.cpp
+++ b/tests/invariant_test.cpp
@@ -15,7 +15,7 @@
     facts.asPrimary = true;
     return facts;
   }
-  /// Checks what is sent and takes the violations back, which would fail the case otherwise.
+  /// Checks a send and clears the violations, which would otherwise fail the test case.
   std::size_t violations(const SendingFacts& facts) {
     checkSending(journal, facts, 7s);
     return CheckTrial::violations();
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("invariants: sound sending violates none and counts the checks") {
+TEST_CASE("invariants: a correct send violates none and counts the checks") {
   Trial trial;
   CHECK(trial.violations(trial.sound()) == 0);
   CHECK(trial.journal.invariant(Invariant::workUnderLease).checked == 1);
@@ -32,7 +32,7 @@
   CHECK(trial.journal.violations() == 0);
 }
 
-TEST_CASE("invariants: each rule of sending is noticed when it is broken") {
+TEST_CASE("invariants: a violation of each rule of sending is detected") {
   Trial trial;
   auto broken = trial.sound();
   auto expected = Invariant::workUnderLease;
@@ -61,7 +61,7 @@
   CHECK(trial.lines.front().find(invariantName(expected)) != std::string::npos);
 }
 
-TEST_CASE("invariants: what is allowed is not taken for a violation") {
+TEST_CASE("invariants: what is allowed is not reported as a violation") {
   Trial trial;
   auto allowed = trial.sound();
   SECTION("a read after a read that may have run") {
@@ -76,7 +76,7 @@
     allowed.begins = false;
     allowed.drainedFor = 20s;
   }
-  SECTION("values laid on a connection without a lease") {
+  SECTION("session state set on a connection without a lease") {
     allowed.clientWork = false;
     allowed.leased = false;
   }
--- a/tests/pooler_endings_test.cpp
+++ b/tests/pooler_endings_test.cpp
@@ -178,14 +178,14 @@
     CHECK(alice->ask("COMMIT") == "ABORTED");
     CHECK(alice->last->reply->state == TransactionState::idle);
   }
-  SECTION("between its statements, seen at a statement") {
+  SECTION("between its statements, noticed at a statement") {
     alice->ask("BEGIN");
     CHECK(alice->ask("WRITE a 1") == "OK");
     trial.backEnds.closeConnections("d1");
     CHECK(alice->ask("WRITE b 1") == "ABORTED");
     CHECK(alice->ask("ROLLBACK") == "OK");
   }
-  SECTION("between its statements, seen at COMMIT") {
+  SECTION("between its statements, noticed at COMMIT") {
     alice->ask("BEGIN");
     CHECK(alice->ask("WRITE a 1") == "OK");
     trial.backEnds.closeConnections("d1");
--- a/tests/pooler_overload_test.cpp
+++ b/tests/pooler_overload_test.cpp
@@ -19,7 +19,7 @@
   std::size_t clients = 0;
   void runLoad(std::size_t count, Duration duration) {
     std::vector<std::unique_ptr<TrialClient>> loadClients;
-    std::vector<std::shared_ptr<ClientStatement>> asked(count);
+    std::vector<std::shared_ptr<SentStatement>> asked(count);
     for (std::size_t number = 0; number < count; ++number) loadClients.push_back(client("c" + std::to_string(++clients)));
     auto until = world.now() + duration;
     while (world.now() < until) {
--- a/tests/pooler_rations_test.cpp
+++ b/tests/pooler_rations_test.cpp
@@ -49,7 +49,7 @@
   trial.backEnds.at("d1").runTime = 50ms;
   trial.ration(0, 1);
   std::vector<std::unique_ptr<TrialClient>> clients;
-  std::vector<std::shared_ptr<ClientStatement>> asked;
+  std::vector<std::shared_ptr<SentStatement>> asked;
   for (int number = 0; number < 3; ++number) {
     clients.push_back(trial.client("c" + std::to_string(number), "directory"));
     asked.push_back(clients.back()->start("WRITE b " + std::to_string(number)));
@@ -116,7 +116,7 @@
   trial.backEnds.at("d1").runTime = 900ms;
   trial.publishShare(4);
   std::vector<std::unique_ptr<TrialClient>> clients;
-  std::vector<std::shared_ptr<ClientStatement>> asked;
+  std::vector<std::shared_ptr<SentStatement>> asked;
   for (int number = 0; number < 7; ++number) {
     clients.push_back(trial.client("c" + std::to_string(number), number < 2 ? "counter" : "directory"));
     asked.push_back(clients.back()->start("WRITE b 1"));
--- a/tests/pooler_reads_test.cpp
+++ b/tests/pooler_reads_test.cpp
@@ -312,7 +312,7 @@
     const char* hosts[] = {"strict", "bounded", "house"};
     std::vector<std::unique_ptr<TrialClient>> clients;
     for (int number = 0; number < 6; ++number) clients.push_back(trial.client("c" + std::to_string(number), hosts[number % 3]));
-    std::vector<std::shared_ptr<ClientStatement>> asked(clients.size());
+    std::vector<std::shared_ptr<SentStatement>> asked(clients.size());
     std::uint64_t epoch = 1;
     std::string leader = "d1";
     int served = 0;
--- a/tests/pooler_rejoin_test.cpp
+++ b/tests/pooler_rejoin_test.cpp
@@ -72,7 +72,7 @@
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  SECTION("a trial of a suspected one") {
+  SECTION("a probe of a suspected database") {
     trial.backEnds.at("d1").opening = ScriptedOpening::refused;
     trial.backEnds.closeConnections("d1");
     CHECK(alice->ask("WRITE a 2") == "CONGESTED");
@@ -83,7 +83,7 @@
     trial.run(5s);
     CHECK(openings(trial) == before);
   }
-  SECTION("one instead of a lost one") {
+  SECTION("a replacement of a lost connection") {
     trial.backEnds.at("d1").runTime = 200ms;
     auto running = alice->start("WRITE a 2");
     trial.run(50ms);
@@ -144,7 +144,7 @@
     INFO("seed " << seed);
     auto& world = trial.world;
     std::vector<std::unique_ptr<TrialClient>> clients;
-    std::vector<std::shared_ptr<ClientStatement>> asked;
+    std::vector<std::shared_ptr<SentStatement>> asked;
     std::vector<int> steps;
     static const char* const routes[] = {"strict", "bounded", "house"};
     for (int number = 0; number < 9; ++number) {
--- a/tests/pooler_sessions_test.cpp
+++ b/tests/pooler_sessions_test.cpp
@@ -232,7 +232,7 @@
     auto& world = trial.world;
     const char* hosts[] = {"strict", "bounded", "house"};
     std::vector<std::unique_ptr<TrialClient>> clients;
-    std::vector<std::shared_ptr<ClientStatement>> asked;
+    std::vector<std::shared_ptr<SentStatement>> asked;
     for (int number = 0; number < 6; ++number) {
       clients.push_back(trial.client("c" + std::to_string(number), hosts[number % 3]));
       asked.push_back(nullptr);
--- a/tests/pooler_shares_test.cpp
+++ b/tests/pooler_shares_test.cpp
@@ -25,7 +25,7 @@
     }
   }
   std::vector<std::unique_ptr<TrialClient>> clients;
-  std::vector<std::shared_ptr<ClientStatement>> asked;
+  std::vector<std::shared_ptr<SentStatement>> asked;
 };
 
 SharesTrial::Options withShare(std::uint32_t most) {
--- a/tests/pooler_trial.cpp
+++ b/tests/pooler_trial.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-std::string ClientStatement::outcome() const {
+std::string SentStatement::outcome() const {
   if (!reply) return "no reply";
   return reply->fault == StatementFault::none ? "OK" : platform::faultWord(reply->fault);
 }
@@ -43,8 +43,8 @@
   session = nullptr;
 }
 
-std::shared_ptr<ClientStatement> TrialClient::start(const std::string& text) {
-  last = std::make_shared<ClientStatement>();
+std::shared_ptr<SentStatement> TrialClient::start(const std::string& text) {
+  last = std::make_shared<SentStatement>();
   last->id = name_ + "." + std::to_string(++lastNumber_);
   last->text = text;
   last->sentAt = trial_.world.now();
@@ -53,7 +53,7 @@
   return last;
 }
 
-Task<void> TrialClient::send(std::shared_ptr<ClientStatement> asked) {
+Task<void> TrialClient::send(std::shared_ptr<SentStatement> asked) {
   auto statement = platform::clientStatement(asked->id, asked->text);
   if (!statement) {
     trial_.violations.push_back("not a statement: " + asked->text);
@@ -72,7 +72,7 @@
   checkReply(*asked);
 }
 
-void TrialClient::checkReply(const ClientStatement& asked) {
+void TrialClient::checkReply(const SentStatement& asked) {
   auto statement = *platform::clientStatement(asked.id, asked.text);
   const auto& reply = *asked.reply;
   bool succeeded = reply.fault == StatementFault::none;
@@ -109,7 +109,7 @@
   if (single || (ends && !inTransaction_)) writes_.clear();
 }
 
-std::string TrialClient::finish(const std::shared_ptr<ClientStatement>& asked) {
+std::string TrialClient::finish(const std::shared_ptr<SentStatement>& asked) {
   trial_.runUntil(30s, [&] {
     return asked->reply.has_value();
   });
--- a/tests/pooler_trial.hpp
+++ b/tests/pooler_trial.hpp
@@ -12,7 +12,7 @@
 namespace tamarindshift {
 
 /// A statement that a test client has sent, with its reply once there is one.
-struct ClientStatement {
+struct SentStatement {
   std::string id;
   std::string text;
   Instant sentAt{};
@@ -34,20 +34,20 @@
   /// Sends a statement and runs until its reply: OK or the wire word of the fault.
   std::string ask(const std::string& text);
   /// Sends a statement without waiting.
-  std::shared_ptr<ClientStatement> start(const std::string& text);
-  std::string finish(const std::shared_ptr<ClientStatement>& asked);
+  std::shared_ptr<SentStatement> start(const std::string& text);
+  std::string finish(const std::shared_ptr<SentStatement>& asked);
   /// Disconnects.
   void leave();
   const std::string& name() const { return name_; }
 
   std::shared_ptr<ClientSession> session;
-  std::shared_ptr<ClientStatement> last;
+  std::shared_ptr<SentStatement> last;
   StatementReply refusal;
 
  private:
   friend class PoolerTrial;
-  Task<void> send(std::shared_ptr<ClientStatement> asked);
-  void checkReply(const ClientStatement& asked);
+  Task<void> send(std::shared_ptr<SentStatement> asked);
+  void checkReply(const SentStatement& asked);
 
   PoolerTrial& trial_;
   std::string name_;
--- a/tests/pooler_waits_test.cpp
+++ b/tests/pooler_waits_test.cpp
@@ -53,7 +53,7 @@
   auto held = holder->start("READ held");
   trial.run(5ms);
   std::vector<std::unique_ptr<TrialClient>> clients;
-  std::vector<std::shared_ptr<ClientStatement>> asked;
+  std::vector<std::shared_ptr<SentStatement>> asked;
   for (const char* each : {"low1", "strict1", "high1", "low2", "high2", "strict2"}) {
     std::string name{each};
     clients.push_back(trial.client(name, name.substr(0, name.size() - 1)));
@@ -117,7 +117,7 @@
   std::vector<std::unique_ptr<TrialClient>> clients;
   for (int number = 0; number < 20; ++number) clients.push_back(trial.client("c" + std::to_string(number)));
   auto until = trial.world.now() + 10s;
-  std::vector<std::shared_ptr<ClientStatement>> asked(clients.size());
+  std::vector<std::shared_ptr<SentStatement>> asked(clients.size());
   while (trial.world.now() < until) {
     for (std::size_t index = 0; index < clients.size(); ++index)
       if (!asked[index] || asked[index]->reply) asked[index] = clients[index]->start("READ a");
--- a/tests/pooler_writes_test.cpp
+++ b/tests/pooler_writes_test.cpp
@@ -141,7 +141,7 @@
     for (int number = 0; number < 5; ++number) clients.push_back(trial.client("c" + std::to_string(number)));
     std::uint64_t epoch = 1;
     std::map<std::string, int> outcomes;
-    std::vector<std::shared_ptr<ClientStatement>> asked(clients.size());
+    std::vector<std::shared_ptr<SentStatement>> asked(clients.size());
     std::string leader = "d1";
     for (int step = 0; step < 9000; ++step) {
       trial.run(1ms);
