--- a/tests/invariant_checks_test.cpp
+++ b/tests/invariant_checks_test.cpp
@@ -51,7 +51,7 @@
   checkAnsweredInTime(trial.journal, StatementTimes{noon, noon + 1301ms, noon + 800ms}, context);
   CHECK(trial.violations() == 1);
   REQUIRE(trial.lines.size() == 1);
-  CHECK(trial.lines.front().find("'7' of r1 was held for 1301 ms") != std::string::npos);
+  CHECK(trial.lines.front().find("'7' of r1 was answered after 1301 ms") != std::string::npos);
 }
 
 TEST_CASE("invariants: granted and reserved shares that together exceed the connections of a branch are reported") {
--- a/tests/scripted_databases.hpp
+++ b/tests/scripted_databases.hpp
@@ -1,3 +1,4 @@
+/// Scripted databases behind DatabaseControl, for tests of the control plane: heartbeats, status, demotion and promotion.
 #pragma once
 
 // Databases with scripted behaviour, as test doubles for DatabaseControl.
@@ -19,17 +20,17 @@
     DatabaseHeartbeat heartbeat;
     /// Position of the last entry of its log.
     LogPosition logPosition;
-    /// The newest term that it knows, if higher than the epoch of its log.
+    /// The newest term that it knows of, if above that of its log.
     Epoch newestTerm;
-    /// False: the process is down; calls fail at once.
+    /// Whether the process runs.
     bool up = true;
-    /// Calls time out and no heartbeats arrive.
+    /// Neither answers calls nor sends heartbeats.
     bool unreachable = false;
-    /// No heartbeats arrive; calls are answered.
+    /// Answers calls but sends no heartbeats.
     bool heartbeatsStopped = false;
     /// Reply to a promote call.
     PromotionOutcome promotion = PromotionOutcome::accepted;
-    /// Whether an accepted promotion takes effect.
+    /// Whether it becomes primary some time after accepting a promotion.
     bool promotesWhenAccepted = true;
     std::uint64_t statusCalls = 0;
     std::uint64_t promoteCalls = 0;
@@ -37,7 +38,7 @@
     Instant demotedAt{};
     /// When promote was last called.
     Instant promoteCalledAt{};
-    /// When a promotion last took effect.
+    /// When it last became primary by a promotion.
     Instant becamePrimaryAt{};
     Epoch term() const { return std::max(newestTerm, logPosition.epoch); }
   };
@@ -46,7 +47,7 @@
   ScriptedDatabases(Clock& clock, Deliver deliver) : clock_(clock), deliver_(std::move(deliver)) {}
   Database& at(const std::string& name) { return databases_.at(DatabaseName{name}); }
   void add(const DatabaseHeartbeat& heartbeat, LogPosition logPosition);
-  /// Adds a database that never sent a heartbeat and answers no call.
+  /// Adds a database that sends no heartbeat and answers no call.
   void addUnreachable(const std::string& name) { databases_[DatabaseName{name}].unreachable = true; }
   /// Sends a heartbeat now.
   void sendHeartbeat(const std::string& name);
