--- a/src/pooler/pooler_serving.cpp
+++ b/src/pooler/pooler_serving.cpp
@@ -224,7 +224,8 @@
   if (usual == usualLatencyMicros_.end() || !databasePool) return statementTimeout(kind);
   auto expected = 8 * std::max(usual->second, databasePool->meanLatencyMicros);
   auto minimum = settings_.minAttemptTimeout;
-  if (auto found = routeNamed(kind); found && found->kind->targetLatency) minimum = std::max<Duration>(minimum, *found->kind->targetLatency / 2);
+  if (auto found = routeNamed(kind); found && found->kind->targetLatency)
+    minimum = std::max<Duration>(minimum, *found->kind->targetLatency / 2);
   return std::max(minimum, Duration{static_cast<Duration::rep>(expected)}) * (1 << std::min(attempt, 4));
 }
 
