--- a/src/pooler/back_end_pool.hpp
+++ b/src/pooler/back_end_pool.hpp
@@ -38,7 +38,7 @@
     /// Until then it is preferably not asked for positions beyond `logPosition`, since it replied `behind`.
     Instant behindUntil{};
     /// The highest log position that it has reported.
-    Place logPosition;
+    LogPosition logPosition;
     /// Moving average of statement latency; the first value is a guess.
     double meanLatencyMicros = 8000;
     /// Latency under normal load, learnt from the first replies and adapted slowly.
--- a/src/pooler/service_tracker.hpp
+++ b/src/pooler/service_tracker.hpp
@@ -32,7 +32,7 @@
   /// The mark of the newest update with whose limits the held connections comply.
   std::uint64_t appliedMark = 0;
   /// The highest log position of a commit that the pooler has seen succeed.
-  Place acknowledgedPosition;
+  LogPosition acknowledgedPosition;
 };
 
 }  // namespace tamarindshift
