--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -406,7 +406,7 @@
 
 std::string ControlState::snapshot() const {
   std::map<Topic, std::uint64_t> marks;
-  for (const auto& [topic, entry] : board_.topics()) marks[topic] = entry->mark;
+  for (const auto& [topic, entry] : updateStore_.topics()) marks[topic] = entry->mark;
   return packed(
       ControlSnapshot{planText_, services_, nodes_, dutyEpoch_, position_, retired_, enrolled_, std::move(marks), versions_, departed_});
 }
@@ -437,7 +437,7 @@
   for (const auto& [topic, mark] : restored->marks) changedTopics_.insert(topic);
   for (const auto& topic : changedTopics_) {
     auto mark = restored->marks.find(topic);
-    board_.restore(topic, mark == restored->marks.end() ? position_ : mark->second, topicTable(topic));
+    updateStore_.restore(topic, mark == restored->marks.end() ? position_ : mark->second, topicTable(topic));
   }
   changedTopics_.clear();
   changedNodes_.clear();
--- a/src/control/control_state.hpp
+++ b/src/control/control_state.hpp
@@ -83,7 +83,7 @@
 /// table changes. Deterministic, so that all members have the same state at the same position.
 class ControlState : public Application {
  public:
-  explicit ControlState(UpdateStore& board) : board_(board) {}
+  explicit ControlState(UpdateStore& updateStore) : updateStore_(updateStore) {}
 
   /// Applies one command and publishes its changes. Returns "held" or the reason why nothing changed; for a plan, the name
   /// of its verdict.
@@ -150,7 +150,7 @@
 
   static constexpr std::size_t maxAwaitedSuccessors = 64;
 
-  UpdateStore& board_;
+  UpdateStore& updateStore_;
   std::optional<Plan> plan_;
   std::string planText_;
   std::map<ServiceName, ServiceState> services_;
--- a/src/control/control_state_publish.cpp
+++ b/src/control/control_state_publish.cpp
@@ -9,7 +9,7 @@
 
 void ControlState::markAllChanged() {
   changedTopics_.insert(fleetTopic);
-  for (const auto& [topic, entry] : board_.topics()) changedTopics_.insert(topic);
+  for (const auto& [topic, entry] : updateStore_.topics()) changedTopics_.insert(topic);
   if (!plan_) return;
   for (const auto& [name, service] : plan_->services) markChanged(name);
 }
@@ -31,7 +31,7 @@
         TopicChange{position_, nodePrefix + address.get(), removed, removed ? std::string{} : publishedNode(address, node->second)});
   }
   changedNodes_.clear();
-  if (!changes.empty()) board_.publishChanges(fleetTopic, position_, std::move(changes));
+  if (!changes.empty()) updateStore_.publishChanges(fleetTopic, position_, std::move(changes));
 }
 
 TopicTable ControlState::fleetTable() const {
@@ -58,8 +58,8 @@
   if (changedTopics_.contains(fleetTopic)) changedNodes_.clear();
   publishNodeChanges();
   for (const auto& topic : changedTopics_)
-    if (topic == fleetTopic || plannedService(ServiceName{topic}) || board_.find(topic))
-      board_.publish(topic, position_, topicTable(topic));
+    if (topic == fleetTopic || plannedService(ServiceName{topic}) || updateStore_.find(topic))
+      updateStore_.publish(topic, position_, topicTable(topic));
   changedTopics_.clear();
 }
 
--- a/src/control/replica_node.cpp
+++ b/src/control/replica_node.cpp
@@ -16,7 +16,7 @@
       databases_(databases),
       journal_(journal),
       settings_(std::move(settings)),
-      state_(board_),
+      state_(updateStore_),
       desk_(clock, link, incarnation),
       core_(clock, link, store, state_, journal,
             CoreSettings{settings_.address, settings_.seeds, settings_.timings.group, settings_.bounds, settings_.mayBootstrap},
@@ -26,7 +26,7 @@
   if (auto fault = core_.start()) return fault;
   duties_ = std::make_unique<Duties>(clock_, journal_, settings_.timings, engine(), state_, reports_, databases_, core_.serverId(),
                                      settings_.toleratedLosses, settings_.rations);
-  news_ = std::make_unique<UpdateServer>(clock_, desk_, board_, *this, settings_.timings.newsWait);
+  updateServer_ = std::make_unique<UpdateServer>(clock_, desk_, updateStore_, *this, settings_.timings.newsWait);
   serveDesk();
   scope_.spawn(watchDisk());
   return std::nullopt;
@@ -85,7 +85,7 @@
 }
 
 std::vector<DatabaseReport> ReplicaNode::databaseReports(const Topic& topic) {
-  return reports_.signs(ServiceName{topic}, clock_.now());
+  return reports_.databaseReports(ServiceName{topic}, clock_.now());
 }
 
 bool ReplicaNode::isKnown(const DatabaseHeartbeat& heartbeat) const {
--- a/src/control/replica_node.hpp
+++ b/src/control/replica_node.hpp
@@ -29,7 +29,7 @@
   const ReportTables& reports() const { return reports_; }
   const Duties& duties() const { return *duties_; }
   const ReplicaSettings& settings() const { return settings_; }
-  const UpdateStore& board() const { return board_; }
+  const UpdateStore& updateStore() const { return updateStore_; }
   Journal& journal() { return journal_; }
 
   /// Orders a plan and returns the outcome. Every verdict comes from the log, never from the local state, so that a member
@@ -76,13 +76,13 @@
   DatabaseControl& databases_;
   Journal& journal_;
   ReplicaSettings settings_;
-  UpdateStore board_;
+  UpdateStore updateStore_;
   ControlState state_;
   ReportTables reports_;
   Desk desk_;
   Core core_;
   std::unique_ptr<Duties> duties_;
-  std::unique_ptr<UpdateServer> news_;
+  std::unique_ptr<UpdateServer> updateServer_;
   std::size_t ordersInProgress_ = 0;
   std::optional<Instant> drainingSince_;
   std::optional<Instant> handedOverAt_;
--- a/src/control/replica_status.cpp
+++ b/src/control/replica_status.cpp
@@ -60,12 +60,12 @@
     entry["free_through"] = ration.freeThrough;
     for (const auto& [node, amount] : ration.later) entry["later"][node.get()] = amount;
   }
-  for (const auto& sign : replica.reports().signs(name, now))
-    own["databases"][sign.database] = {{"role", sign.role},
-                                       {"epoch", sign.epoch},
-                                       {"position", sign.position},
-                                       {"contact_ms", milliseconds(sign.contactAge).count()},
-                                       {"heard_ms_ago", milliseconds(sign.age).count()}};
+  for (const auto& report : replica.reports().databaseReports(name, now))
+    own["databases"][report.database] = {{"role", report.role},
+                                         {"epoch", report.epoch},
+                                         {"position", report.position},
+                                         {"contact_ms", milliseconds(report.contactAge).count()},
+                                         {"heard_ms_ago", milliseconds(report.age).count()}};
   for (const auto& [database, enrolled] : state.databases(name)) {
     own["addresses"][database.get()] = enrolled.address.get();
     if (auto reasons = duties.unusedReasons(name, database); !reasons.empty()) own["unused"][database.get()] = reasons;
--- a/src/control/report_tables.cpp
+++ b/src/control/report_tables.cpp
@@ -74,13 +74,14 @@
   return found == databases_.end() ? nullptr : &found->second;
 }
 
-std::vector<DatabaseReport> ReportTables::signs(const ServiceName& service, Instant now) const {
-  std::vector<DatabaseReport> signs;
+std::vector<DatabaseReport> ReportTables::databaseReports(const ServiceName& service, Instant now) const {
+  std::vector<DatabaseReport> databaseReports;
   for (const auto& [key, held] : databases_)
     if (key.first == service)
-      signs.push_back(DatabaseReport{key.second.get(), held.heartbeat.role, held.heartbeat.epoch.get(), held.heartbeat.position.get(),
-                                     held.heartbeat.contactAge + (now - held.lastContact), now - held.lastContact, held.heartbeat.leaving});
-  return signs;
+      databaseReports.push_back(DatabaseReport{key.second.get(), held.heartbeat.role, held.heartbeat.epoch.get(),
+                                               held.heartbeat.position.get(), held.heartbeat.contactAge + (now - held.lastContact),
+                                               now - held.lastContact, held.heartbeat.leaving});
+  return databaseReports;
 }
 
 LogPosition ReportTables::acknowledged(const ServiceName& service) const {
--- a/src/control/report_tables.hpp
+++ b/src/control/report_tables.hpp
@@ -34,7 +34,7 @@
   /// The newest heartbeat of a database; null if there is none.
   const Database* database(const ServiceName& service, const DatabaseName& database) const;
   /// State of each database of the service with the age of its heartbeat, as subscribers get it.
-  std::vector<DatabaseReport> signs(const ServiceName& service, Instant now) const;
+  std::vector<DatabaseReport> databaseReports(const ServiceName& service, Instant now) const;
   /// Highest log position that any node reported as acknowledged.
   LogPosition acknowledged(const ServiceName& service) const;
   /// Removes nodes whose last contact was earlier than `before`.
--- a/tests/rationing_test.cpp
+++ b/tests/rationing_test.cpp
@@ -44,7 +44,7 @@
   CHECK(cluster.ration(1) == cluster.ration(2));
   CHECK(cluster.ration()->freeThrough == 1);
   CHECK(cluster.ration()->laterLimitAt(cluster.report.node) == 4);
-  const auto* entry = cluster.replica(1).board().find("s1");
+  const auto* entry = cluster.replica(1).updateStore().find("s1");
   REQUIRE(entry);
   REQUIRE(entry->table.contains("ration/d1"));
   CHECK(unpacked<Ration>(entry->table.at("ration/d1")) == cluster.ration());
@@ -75,7 +75,7 @@
   REQUIRE(cluster.runUntil(2s, [&] {
     return !cluster.ration(0) && !cluster.ration(1) && !cluster.ration(2);
   }));
-  CHECK_FALSE(cluster.replica(2).board().find("s1")->table.contains("ration/d1"));
+  CHECK_FALSE(cluster.replica(2).updateStore().find("s1")->table.contains("ration/d1"));
 }
 
 TEST_CASE("the demands of a node that became silent do not count any more", "[ration]") {
