--- a/src/scale/pieces.cpp
+++ b/src/scale/pieces.cpp
@@ -226,7 +226,7 @@
       access.recordHeartbeat(heartbeat, now, 1s);
     }
     note("signs_us", cost([&] {
-           access.signs(ServiceName{"s1"}, now);
+           access.databaseReports(ServiceName{"s1"}, now);
          }));
   }
 
