--- a/src/control/membership_duties.cpp
+++ b/src/control/membership_duties.cpp
@@ -22,14 +22,14 @@
       proposals.emplace_back(ControlCommandType::drainNode, packed(update));
   }
   co_await proposeAll(std::move(proposals));
-  std::vector<NodeCommand> gone;
+  std::vector<NodeCommand> removals;
   for (const auto& [address, node] : state_.nodes()) {
     bool holds = std::any_of(state_.services().begin(), state_.services().end(), [&](const auto& each) {
       return each.second.hasShares(address);
     });
-    if (!holds && silent(address)) gone.push_back(NodeCommand{address, node.zone, node.boot});
+    if (!holds && silent(address)) removals.push_back(NodeCommand{address, node.zone, node.boot});
   }
-  for (const auto& update : gone) {
+  for (const auto& update : removals) {
     journal_.line("node " + update.node.get() + ": silent and without shares, removed");
     co_await propose(ControlCommandType::removeNode, packed(update));
   }
@@ -38,7 +38,7 @@
 
 Task<void> Duties::removeLostDatabases() {
   removingDatabases_ = true;
-  std::vector<DatabaseCommand> gone;
+  std::vector<DatabaseCommand> removals;
   for (const auto& [service, databases] : state_.enrolled())
     for (const auto& [database, own] : databases) {
       auto served = state_.services().find(service);
@@ -48,9 +48,9 @@
       const auto* contact = access_.database(service, database);
       const auto* drained = state_.drainMark(service, database);
       bool silent = clock_.now() - std::max(contact ? contact->lastContact : Instant{}, dutiesTakenAt_) > timings_.databaseGone;
-      if (silent || (drained && drained->detached)) gone.push_back(DatabaseCommand{service, database, 0, 0, true});
+      if (silent || (drained && drained->detached)) removals.push_back(DatabaseCommand{service, database, 0, 0, true});
     }
-  for (const auto& update : gone) {
+  for (const auto& update : removals) {
     journal_.line("database " + update.database.get() + " of service " + update.service.get() + ": detached or silent, removed");
     co_await propose(ControlCommandType::removeDatabase, packed(update));
   }
--- a/src/control/promotion_duties.cpp
+++ b/src/control/promotion_duties.cpp
@@ -263,18 +263,18 @@
   auto outcome = co_await databases_.promote(*chosen, service.epoch, holder, calledAt + timings_.promotePatience);
   if (!promotionPending(name, service.epoch)) co_return;
   if (outcome == PromotionOutcome::refused) co_return co_await recover(name, "the chosen database cannot become primary");
-  std::optional<Epoch> led;
-  if (outcome == PromotionOutcome::promoted) led = service.epoch;
-  if (outcome == PromotionOutcome::accepted) led = co_await awaitPromotedTerm(name, service, calledAt);
+  std::optional<Epoch> promotedTerm;
+  if (outcome == PromotionOutcome::promoted) promotedTerm = service.epoch;
+  if (outcome == PromotionOutcome::accepted) promotedTerm = co_await awaitPromotedTerm(name, service, calledAt);
   if (!promotionPending(name, service.epoch)) co_return;
-  if (!led) {
+  if (!promotedTerm) {
     auto& duty = serviceDuties_[name];
     duty.promoteBackoff = std::clamp<Duration>(2 * duty.promoteBackoff, timings_.duty, 16 * timings_.duty);
     duty.nextPromoteAt = clock_.now() + duty.promoteBackoff;
     co_return setWaitReason(name, outcome == PromotionOutcome::accepted ? "the chosen database does not say that it leads"
                                                                         : "the platform did not confirm the promotion");
   }
-  co_await confirmPromotion(name, service, *led);
+  co_await confirmPromotion(name, service, *promotedTerm);
 }
 
 // The term in which the database is primary, once its STATUS proves that the call has taken effect.
--- a/src/control/share_duties.cpp
+++ b/src/control/share_duties.cpp
@@ -73,10 +73,10 @@
 }
 
 void Duties::recordLiveNodes() {
-  std::vector<std::pair<Address, std::uint64_t>> living;
+  std::vector<std::pair<Address, std::uint64_t>> liveNodes;
   for (const auto& [address, node] : state_.nodes())
-    if (!node.draining && !silent(address)) living.emplace_back(address, node.boot);
-  if (std::exchange(liveNodes_, living) != living) ++liveNodesRevision_;
+    if (!node.draining && !silent(address)) liveNodes.emplace_back(address, node.boot);
+  if (std::exchange(liveNodes_, liveNodes) != liveNodes) ++liveNodesRevision_;
 }
 
 Duties::SharesInputs Duties::sharesInputs(const ServiceName& name, const ServiceState& service) const {
