--- a/tests/platform/configuration_translation_test.cpp
+++ b/tests/platform/configuration_translation_test.cpp
@@ -64,13 +64,13 @@
   CHECK(strict.consistency == Consistency::primary);
   CHECK(strict.host == "lepu270");
   CHECK(strict.prefix == "/");
-  CHECK(strict.statement == Duration{800ms});
+  CHECK(strict.statementTimeout == Duration{800ms});
   CHECK(strict.targetLatency == Duration{200ms});
   CHECK(strict.order == 1);
   const auto& bounded = plan->kinds.at(KindName{"r-qasnmgk"});
   CHECK(bounded.consistency == Consistency::lookups);
   CHECK(bounded.stalenessBound() == 1500ms);
-  CHECK(bounded.statement == Duration{2s});
+  CHECK(bounded.statementTimeout == Duration{2s});
   const auto& house = plan->kinds.at(KindName{"r-k7b2ex5"});
   CHECK(house.consistency == Consistency::status);
   CHECK(house.stalenessBound() == 2500ms);
