--- a/src/group/sequenced_group.hpp
+++ b/src/group/sequenced_group.hpp
@@ -140,7 +140,6 @@
   std::optional<Instant> viewChangeWantedSince_;
   std::optional<ViewProposal> proposal_;
 
-  // sequence numbers of the current view; received, stored here, stored by all members, delivered here
   std::map<std::uint64_t, Delivery> undelivered_;
   // sequence numbers up to which messages of the current view are received here, stored here, stored by all members, delivered here
   std::uint64_t receivedUpTo_ = 0;
