--- a/src/control/duties.cpp
+++ b/src/control/duties.cpp
@@ -42,7 +42,7 @@
       dutiesTakenAt_ = clock_.now();
       serviceDuties_.clear();
       waitReasons_.clear();
-      journal_.line(wasOnDuty_ ? "this member is now on duty" : "this member is no longer on duty");
+      journal_.line(wasOnDuty_ ? "takes the duties" : "lays the duties down");
     }
     if (wasOnDuty_) startPass();
   }
--- a/src/control/promotion_duties.cpp
+++ b/src/control/promotion_duties.cpp
@@ -50,7 +50,7 @@
   if (!onDuty()) co_return;
   bool orderly = leaves || reason == "primary is strained";
   bool planned = service.promoted ? orderly && reportsPrimary(name, service.primary) : service.plannedSwitchover;
-  journal_.line("service " + name.get() + ": recovery to database " + best->database.get() + ", reason: " + reason);
+  journal_.line("service " + name.get() + " recovers to " + best->database.get() + ": " + reason);
   RecoveryCommand update{name, service.epoch, best->database, reason, planned, best->standing.term};
   co_await propose(ControlCommandType::recovery, packed(update));
 }
