--- a/src/control/database_control.hpp
+++ b/src/control/database_control.hpp
@@ -1,10 +1,12 @@
 #pragma once
 
+// Interface through which the duty holder queries, demotes and promotes databases.
+
 #include <functional>
 
 #include "base/address.hpp"
 #include "base/task.hpp"
-#include "pool/database_messages.hpp"
+#include "proxy/database_messages.hpp"
 
 namespace tamarindshift {
 
@@ -14,24 +16,33 @@
   Address address;
 };
 
-// led: the database is primary now; accepted: it will be, and says so itself; refused: it cannot become primary
-enum class PromotionOutcome { led, accepted, refused, unanswered };
+enum class PromotionOutcome {
+  promoted,   ///< the database is primary now
+  accepted,   ///< it will be primary, and reports so itself
+  refused,    ///< it cannot become primary
+  unanswered  ///< no reply before the deadline, or the call was not sent
+};
 
+/// The member on whose behalf a promotion is called.
 struct DutyHolder {
   Address node;
-  std::uint64_t fence = 0;
-  /// Asked right before the call goes out; false where another node may hold the duties by now.
+  /// Fencing token: never falls from one duty holder to the next.
+  std::uint64_t fencingToken = 0;
+  /// Checked right before the call is sent; false if another node may hold the duties by now.
   std::function<bool()> mayAct = [] {
     return true;
   };
 };
 
+/// Calls to databases. Each call ends by its deadline.
 class DatabaseControl {
  public:
   virtual ~DatabaseControl() = default;
-  virtual Task<std::optional<DatabaseStanding>> status(DatabaseTarget target, Instant deadline) = 0;
-  // turns a primary of an epoch below `epoch` into a replica; its last standing, or nothing
-  virtual Task<std::optional<DatabaseStanding>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) = 0;
+  /// Queries the state of a database; nothing if it does not answer.
+  virtual Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) = 0;
+  /// Turns a primary of an epoch below `epoch` into a replica. Returns its last state, or nothing if it does not answer.
+  virtual Task<std::optional<DatabaseStatus>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) = 0;
+  /// Asks a database to become the primary of `epoch`.
   virtual Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) = 0;
 };
 
--- a/src/control/operator_door.hpp
+++ b/src/control/operator_api.hpp
@@ -4,9 +4,10 @@
 
 namespace tamarindshift {
 
-class OperatorDoor : public DoorKeeper {
+/// HTTP API of a replica for operators and databases: plan, heartbeat, Detach, members, status, counters and readiness.
+class OperatorApi : public DoorKeeper {
  public:
-  explicit OperatorDoor(ReplicaNode& replica, Clock& clock) : replica_(replica), clock_(clock) {}
+  explicit OperatorApi(ReplicaNode& replica, Clock& clock) : replica_(replica), clock_(clock) {}
   Task<DoorReply> serve(DoorRequest request) override;
   void gone(ConnectionId) override {}
 
--- a/src/control/plan_news.cpp
+++ b/src/control/plan_entries.cpp
@@ -1,4 +1,4 @@
-#include "control/plan_news.hpp"
+#include "control/plan_entries.hpp"
 
 #include "wire/pack.hpp"
 
@@ -12,13 +12,13 @@
 const std::string kindPrefix = "plan-kind/";
 
 template <class Value>
-std::optional<Value> valueAt(const NewsTable& table, const std::string& key) {
+std::optional<Value> valueAt(const TopicTable& table, const std::string& key) {
   auto found = table.find(key);
   return found == table.end() ? std::nullopt : unpacked<Value>(found->second);
 }
 
 template <class Value>
-std::map<KindName, Value> kindsIn(const NewsTable& table) {
+std::map<KindName, Value> readKinds(const TopicTable& table) {
   std::map<KindName, Value> kinds;
   for (auto entry = table.lower_bound(kindPrefix); entry != table.end() && entry->first.starts_with(kindPrefix); ++entry)
     if (auto value = unpacked<Value>(entry->second)) kinds.emplace(KindName{entry->first.substr(kindPrefix.size())}, std::move(*value));
@@ -26,37 +26,37 @@
 }
 
 template <class Value>
-void layKinds(NewsTable& table, const std::map<KindName, Value>& kinds) {
+void writeKinds(TopicTable& table, const std::map<KindName, Value>& kinds) {
   for (const auto& [name, kind] : kinds) table[kindPrefix + name.get()] = packed(kind);
 }
 
 }  // namespace
 
-void layPlan(NewsTable& table, const FleetPlanNews& plan) {
+void writePlanEntries(TopicTable& table, const PublishedFleetPlan& plan) {
   table[markKey] = packed(plan.mark);
   table[limitsKey] = packed(plan.limits);
-  layKinds(table, plan.kinds);
+  writeKinds(table, plan.kinds);
 }
 
-void layPlan(NewsTable& table, const ServiceNews& plan) {
+void writePlanEntries(TopicTable& table, const PublishedServicePlan& plan) {
   table[markKey] = packed(plan.mark);
   table[serviceKey] = packed(plan.service);
-  layKinds(table, plan.kinds);
+  writeKinds(table, plan.kinds);
 }
 
-FleetPlanNews fleetPlanIn(const NewsTable& table) {
+PublishedFleetPlan readFleetPlan(const TopicTable& table) {
   using Limits = std::map<std::string, std::uint64_t>;
-  return FleetPlanNews{planMarkIn(table), kindsIn<ServiceName>(table), valueAt<Limits>(table, limitsKey).value_or(Limits{})};
+  return PublishedFleetPlan{readPlanVersion(table), readKinds<ServiceName>(table), valueAt<Limits>(table, limitsKey).value_or(Limits{})};
 }
 
-std::optional<ServiceNews> servicePlanIn(const NewsTable& table) {
+std::optional<PublishedServicePlan> readServicePlan(const TopicTable& table) {
   auto service = valueAt<PlanService>(table, serviceKey);
   if (!service) return std::nullopt;
-  return ServiceNews{planMarkIn(table), std::move(*service), kindsIn<PlanKind>(table)};
+  return PublishedServicePlan{readPlanVersion(table), std::move(*service), readKinds<PlanKind>(table)};
 }
 
-PlanMark planMarkIn(const NewsTable& table) {
-  return valueAt<PlanMark>(table, markKey).value_or(PlanMark{});
+PlanVersion readPlanVersion(const TopicTable& table) {
+  return valueAt<PlanVersion>(table, markKey).value_or(PlanVersion{});
 }
 
 bool isPlanKey(const std::string& key) {
--- a/src/control/replica_status.cpp
+++ b/src/control/replica_status.cpp
@@ -11,10 +11,10 @@
 using Json = nlohmann::json;
 
 std::vector<std::string> texts(const std::vector<Address>& addresses) {
-  std::vector<std::string> read;
-  read.reserve(addresses.size());
-  for (const auto& address : addresses) read.push_back(address.get());
-  return read;
+  std::vector<std::string> converted;
+  converted.reserve(addresses.size());
+  for (const auto& address : addresses) converted.push_back(address.get());
+  return converted;
 }
 
 void addEngine(Json& json, const ReplicaNode& replica, Instant now) {
@@ -28,7 +28,8 @@
                     {"vulnerable", engine.vulnerable().valid},
                     {"on_duty", replica.duties().onDuty()}};
   if (auto fault = engine.diskFault()) json["disk_fault"] = *fault;
-  if (engine.state() == EngineState::regPrim && !engine.conf().set.empty()) json["duty_holder"] = engine.conf().set.begin()->address.get();
+  if (engine.state() == EngineState::regPrim && !engine.conf().members.empty())
+    json["duty_holder"] = engine.conf().members.begin()->address.get();
   Json primary = Json::array();
   for (const auto& server : engine.primComponent().servers) primary.push_back(text(server));
   json["primary_component"] = {
@@ -38,7 +39,7 @@
     auto cut = engine.redCut().find(server);
     json["members"][text(server)] = {{"green", line}, {"red_cut", cut == engine.redCut().end() ? 0 : cut->second}};
   }
-  if (auto proved = engine.provedAt()) {
+  if (auto proved = engine.primaryConfirmedAt()) {
     json["proved_ms_ago"] = milliseconds(now - *proved).count();
     json["lease_ms"] = milliseconds(std::max(Duration::zero(), *proved + replica.settings().timings.lease - now)).count();
   }
@@ -53,43 +54,44 @@
   for (const auto& [node, branches] : service.grants)
     for (const auto& [branch, amount] : branches) own["shares"][node.get()][branch.get()] = amount;
   for (const auto& [node, share] : service.reserved)
-    for (const auto& [branch, amount] : share.most) own["reserved"][node.get()][branch.get()] = amount;
+    for (const auto& [branch, amount] : share.connections) own["reserved"][node.get()][branch.get()] = amount;
   for (const auto& [database, ration] : service.rations) {
-    auto& told = own["rations"][database.get()];
-    told["free_through"] = ration.freeThrough;
-    for (const auto& [node, amount] : ration.later) told["later"][node.get()] = amount;
+    auto& entry = own["rations"][database.get()];
+    entry["free_through"] = ration.freeThrough;
+    for (const auto& [node, amount] : ration.later) entry["later"][node.get()] = amount;
   }
-  for (const auto& sign : replica.access().signs(name, now))
-    own["databases"][sign.database] = {{"role", sign.role},
-                                       {"epoch", sign.epoch},
-                                       {"position", sign.position},
-                                       {"contact_ms", milliseconds(sign.contactAge).count()},
-                                       {"heard_ms_ago", milliseconds(sign.age).count()}};
+  for (const auto& report : replica.reports().databaseReports(name, now))
+    own["databases"][report.database] = {{"role", report.role},
+                                         {"epoch", report.epoch},
+                                         {"position", report.position},
+                                         {"contact_ms", milliseconds(report.contactAge).count()},
+                                         {"heard_ms_ago", milliseconds(report.age).count()}};
   for (const auto& [database, enrolled] : state.databases(name)) {
     own["addresses"][database.get()] = enrolled.address.get();
-    if (auto reasons = duties.unused(name, database); !reasons.empty()) own["unused"][database.get()] = reasons;
+    if (auto reasons = duties.unusedReasons(name, database); !reasons.empty()) own["unused"][database.get()] = reasons;
   }
   if (!duties.onDuty()) return own;
-  if (auto waits = duties.waits().find(name); waits != duties.waits().end()) own["waits"] = waits->second;
-  if (auto awaited = duties.awaited(name); !awaited.empty()) own["shares_awaited"] = texts(awaited);
-  for (const auto& [node, reason] : duties.shareless(name)) own["shareless"][node.get()] = reason;
+  if (auto waits = duties.waitReasons().find(name); waits != duties.waitReasons().end()) own["waits"] = waits->second;
+  if (auto awaited = duties.nodesBehindOnShares(name); !awaited.empty()) own["shares_awaited"] = texts(awaited);
+  for (const auto& [node, reason] : duties.nodesWithoutShare(name)) own["shareless"][node.get()] = reason;
   return own;
 }
 
 void addNodes(Json& json, const ReplicaNode& replica, Instant now) {
-  const auto& heard = replica.access().nodes();
+  const auto& reporting = replica.reports().nodes();
   for (const auto& [address, node] : replica.state().nodes()) {
     auto& own = json["nodes"][address.get()];
     own = {{"zone", node.zone.get()}, {"draining", node.draining}};
-    auto known = heard.find(address);
-    if (known == heard.end()) continue;
-    own["heard_ms_ago"] = milliseconds(now - known->second.heardAt).count();
+    auto known = reporting.find(address);
+    if (known == reporting.end()) continue;
+    own["heard_ms_ago"] = milliseconds(now - known->second.lastContact).count();
     own["plan_mark"] = known->second.report.mark.get();
     own["lease_ms"] = milliseconds(known->second.report.lease).count();
   }
-  for (const auto& [address, node] : heard)
+  for (const auto& [address, node] : reporting)
     if (!replica.state().nodes().contains(address))
-      json["unregistered"][address.get()] = {{"zone", node.report.zone.get()}, {"heard_ms_ago", milliseconds(now - node.heardAt).count()}};
+      json["unregistered"][address.get()] = {{"zone", node.report.zone.get()},
+                                             {"heard_ms_ago", milliseconds(now - node.lastContact).count()}};
 }
 
 }  // namespace
--- a/src/group/configuration.hpp
+++ b/src/group/configuration.hpp
@@ -6,10 +6,11 @@
 
 namespace tamarindshift {
 
+/// A regular configuration of Extended Virtual Synchrony: a view and the servers in it.
 struct Configuration {
   ViewId confId;
-  std::set<ServerId> set;
-  MSGPACK_DEFINE(confId, set)
+  std::set<ServerId> members;
+  MSGPACK_DEFINE(confId, members)
 };
 
 }  // namespace tamarindshift
--- a/src/programs/agent.cpp
+++ b/src/programs/agent.cpp
@@ -1,5 +1,5 @@
 #include "base/timing_settings.hpp"
-#include "news/agent_node.hpp"
+#include "updates/agent_node.hpp"
 #include "real/daemon.hpp"
 #include "real/tcp_link.hpp"
 
@@ -31,7 +31,7 @@
       },
       daemon.rereads(program,
                      [&] {
-                       node.change(settings);
+                       node.updateSettings(settings);
                      }),
       [&]() -> std::optional<int> {
         return node.stopped() ? std::optional{0} : std::nullopt;
--- a/src/programs/replica.cpp
+++ b/src/programs/replica.cpp
@@ -1,6 +1,6 @@
 #include "base/timing_settings.hpp"
-#include "control/operator_door.hpp"
-#include "pool/json_database_control.hpp"
+#include "control/operator_api.hpp"
+#include "proxy/json_database_control.hpp"
 #include "real/daemon.hpp"
 #include "real/file_store.hpp"
 #include "real/tcp_link.hpp"
@@ -20,8 +20,8 @@
   program.add(seedsSetting(settings.seeds));
   program.add(textSetting("data", "data folder", folder, true));
   program.add(reread(addressSetting("platform", "address of the platform that carries out promotions", platform)));
-  program.add(
-      reread(numberSetting("store-length", "bytes after which the store is rewritten", settings.bounds.storeLength, 65536, 1u << 30)));
+  program.add(reread(
+      numberSetting("store-length", "bytes after which the store is rewritten", settings.bounds.rewriteThresholdBytes, 65536, 1u << 30)));
   program.add(rationsSetting(settings.rations));
   program.add(detoursSetting(detours));
   program.add(timingSettings(settings.timings));
@@ -35,7 +35,7 @@
   JsonDatabaseControl databases(daemon.web, platform);
   ReplicaNode node(daemon.clock, link, store, databases, daemon.journal, settings, freshIncarnation());
   if (auto fault = node.start()) return complain("replica", *fault);
-  OperatorDoor door(node, daemon.clock);
+  OperatorApi door(node, daemon.clock);
   if (auto fault = link.listen()) return complain("replica", *fault);
   if (auto fault = daemon.serve(http, door)) return complain("replica", *fault);
   return daemon.run(
@@ -44,8 +44,8 @@
       },
       daemon.rereads(program,
                      [&] {
-                       databases.change(platform);
-                       node.change(settings);
+                       databases.setPlatformAddress(platform);
+                       node.updateSettings(settings);
                      }),
       [&]() -> std::optional<int> {
         if (node.stopped()) return 0;
--- a/src/scale/hollow_node.hpp
+++ b/src/scale/hollow_node.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "news/agent_node.hpp"
-#include "pool/proxy_node.hpp"
+#include "updates/agent_node.hpp"
+#include "proxy/proxy_node.hpp"
 #include "scale/metered_link.hpp"
 
 namespace tamarindshift {
@@ -22,7 +22,7 @@
              const HollowNodeSettings& settings, std::uint64_t boot);
 
   bool leased() const;
-  bool follows(PlanMark mark) const;
+  bool follows(PlanVersion mark) const;
   bool servedUnder(const ServiceName& service, Epoch epoch) const;
   const Traffic& traffic() const { return traffic_; }
   const HollowNodeSettings& settings() const { return settings_; }
--- a/src/scale/simulated_scale.cpp
+++ b/src/scale/simulated_scale.cpp
@@ -33,7 +33,7 @@
     settings.seeds = addresses_.seeds();
     own.node = std::make_unique<ReplicaNode>(clock_, *own.metered, *own.store, databaseControl_, journal_, settings, world_.incarnation());
     if (own.node->start()) continue;
-    own.door = std::make_unique<OperatorDoor>(*own.node, clock_);
+    own.door = std::make_unique<OperatorApi>(*own.node, clock_);
     web_.attach(addresses_.replicaDoor(index), *own.door, clock_);
   }
   for (const auto& settings : addresses_.databases()) {
@@ -150,7 +150,7 @@
 std::optional<std::size_t> SimulatedScale::onDuty() const {
   for (std::size_t index = 0; index < replicas_.size(); ++index) {
     const auto* node = replicas_[index]->node.get();
-    auto proved = node && node->duties().onDuty() ? node->engine().provedAt() : std::nullopt;
+    auto proved = node && node->duties().onDuty() ? node->engine().primaryConfirmedAt() : std::nullopt;
     if (proved && world_.now() - *proved < 400ms) return index;
   }
   return std::nullopt;
--- a/src/simulated/never_list.cpp
+++ b/src/simulated/never_list.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "pool/database_json.hpp"
+#include "proxy/database_json.hpp"
 
 namespace tamarindshift {
 
@@ -42,7 +42,7 @@
 
 const std::map<std::string, std::string>* NeverList::primaryData(const ServiceName& service) const {
   for (const auto& replica : fleet_.replicas()) {
-    if (!replica->node || replica->clock->frozen() || !replica->node->engine().provedAt()) continue;
+    if (!replica->node || replica->clock->frozen() || !replica->node->engine().primaryConfirmedAt()) continue;
     const auto& state = replica->node->state();
     auto held = state.services().find(service);
     if (held == state.services().end() || !held->second.promoted) continue;
@@ -58,11 +58,11 @@
 
 const std::map<std::string, std::string>* NeverList::bestCopy(const ServiceName& service) const {
   const std::map<std::string, std::string>* best = nullptr;
-  Place most;
+  LogPosition most;
   for (const auto& database : fleet_.databases()) {
     if (database->settings.service != service) continue;
     const auto& disk = database->node ? database->node->disk() : database->disk;
-    Place place{disk.epoch, Position{disk.position}};
+    LogPosition place{disk.epoch, Position{disk.position}};
     if (best && place < most) continue;
     most = place;
     best = database->node ? &database->node->data() : &database->disk.data;
@@ -126,7 +126,7 @@
   }
   if (!highest) return;
   for (const auto& replica : fleet_.replicas()) {
-    if (!replica->node || replica->clock->frozen() || !replica->node->engine().provedAt()) continue;
+    if (!replica->node || replica->clock->frozen() || !replica->node->engine().primaryConfirmedAt()) continue;
     const auto& state = replica->node->state();
     if (!state.plan() || state.plan()->mark.get() < highest->mark)
       fault("acknowledged plan " + std::to_string(highest->mark) + " is gone at " + replica->host);
--- a/src/simulated/simulated_fleet.cpp
+++ b/src/simulated/simulated_fleet.cpp
@@ -80,7 +80,7 @@
     slips_.push_back("replica " + std::to_string(index + 1) + " did not start: " + *fault);
     return;
   }
-  own.door = std::make_unique<OperatorDoor>(*own.node, *own.clock);
+  own.door = std::make_unique<OperatorApi>(*own.node, *own.clock);
   web_.attach(at(own.host, 2), *own.door, *own.clock);
 }
 
@@ -112,7 +112,7 @@
   auto& own = *machines_[index];
   if (own.proxy) return;
   killMachine(index);
-  own.lastMark = PlanMark{};
+  own.lastMark = PlanVersion{};
   own.clock = std::make_unique<SimulatedClock>(world_);
   own.journal = std::make_unique<SimulatedJournal>("machine " + std::to_string(index + 1), sink());
   own.agentLink = std::make_unique<SimulatedLink>(network_, *own.clock, at(own.host, 1));
@@ -169,7 +169,7 @@
     co_await sleep(clock_, 20ms);
   }
   if (!own.proxy) co_return;
-  own.unansweredAtStop += own.proxy->requests().underway();
+  own.unansweredAtStop += own.proxy->requests().inFlight();
   co_await sleep(clock_, 10ms);
   killProxy(own);
   while (own.agent && !own.agent->stopped()) co_await sleep(clock_, 20ms);
@@ -322,10 +322,10 @@
   for (std::size_t index = 0; index < machines_.size(); ++index) {
     auto& own = *machines_[index];
     if (!own.proxy || own.clock->frozen()) continue;
-    const auto& guide = own.proxy->guide();
-    auto mark = guide.planMark();
+    const auto& directory = own.proxy->directory();
+    auto mark = directory.planMark();
     bool works = false;
-    for (const auto& [name, view] : guide.services()) works = works || guide.leased(name);
+    for (const auto& [name, view] : directory.services()) works = works || directory.leased(name);
     auto who = "machine " + std::to_string(index + 1) + " at " + std::to_string(milliseconds(world_.now() - start_).count()) + "ms";
     if (works && mark.get() < required)
       slip(who + " works under plan " + std::to_string(mark.get()) + ", " + std::to_string(required) + " is older than 3 s");
@@ -383,8 +383,9 @@
   std::set<ViewId> views;
   for (const auto& replica : replicas_)
     if (replica->node && !replica->clock->frozen()) {
-      auto proved = replica->node->engine().provedAt();
-      if (proved && world_.now() - *proved < 100ms + shape_.timings.group.heartbeat) views.insert(replica->node->engine().conf().confId);
+      auto proved = replica->node->engine().primaryConfirmedAt();
+      if (proved && world_.now() - *proved < 100ms + shape_.timings.group.heartbeatInterval)
+        views.insert(replica->node->engine().conf().confId);
     }
   return views.size();
 }
--- a/src/news/agent_node.cpp
+++ b/src/updates/agent_node.cpp
@@ -1,11 +1,11 @@
-#include "news/agent_node.hpp"
+#include "updates/agent_node.hpp"
 
 #include <algorithm>
 
 #include <nlohmann/json.hpp>
 
 #include "control/heartbeat_json.hpp"
-#include "control/service_news.hpp"
+#include "control/published_entries.hpp"
 #include "edge/door_replies.hpp"
 
 namespace tamarindshift {
@@ -16,29 +16,29 @@
       settings_(std::move(settings)),
       replicas_(settings_.seeds),
       desk_(clock, link, boot),
-      news_(
+      follower_(
           clock, desk_, journal,
           [this](const Topic& topic) {
             return sources(topic);
           },
-          FollowTimings::of(settings_.timings, settings_.signs),
+          FollowTimings::of(settings_.timings, settings_.databaseReports),
           [this] {
-            return isHome() ? std::nullopt : std::optional{settings_.address};
+            return isRelay() ? std::nullopt : std::optional{settings_.address};
           }),
-      newsDesk_(clock, desk_, news_.board(), news_, settings_.timings.newsWait) {
+      updateServer_(clock, desk_, follower_.updates(), follower_, settings_.timings.newsWait) {
   desk_.serve("report", [this](Address, std::string body) -> Task<std::optional<std::string>> {
     if (auto report = unpacked<NodeReport>(body)) this->report(std::move(*report));
     co_return std::nullopt;
   });
   desk_.serve("report-whole", [this](Address from, std::string) -> Task<std::optional<std::string>> {
-    reports_.forget(from);
-    if (replicas_.contains(from) && reports_.last().boot != 0) desk_.tell(from, "report", reports_.tell(from, clock_.now()));
+    reports_.sendWholeNext(from);
+    if (replicas_.contains(from) && reports_.last().boot != 0) desk_.tell(from, "report", reports_.nextMessage(from, clock_.now()));
     co_return std::nullopt;
   });
-  scope_.spawn(peers());
+  scope_.spawn(refreshReplicas());
 }
 
-void AgentNode::change(AgentSettings settings) {
+void AgentNode::updateSettings(AgentSettings settings) {
   for (const auto& seed : settings_.seeds) replicas_.erase(seed);
   settings_ = std::move(settings);
   replicas_.insert(settings_.seeds.begin(), settings_.seeds.end());
@@ -47,45 +47,45 @@
 void AgentNode::drain() {
   if (drainingSince_) return;
   drainingSince_ = clock_.now();
-  journal_.line("leaves after its proxy");
+  journal_.line("agent draining: stops after the last report of its proxy");
 }
 
 bool AgentNode::stopped() const {
   if (!drainingSince_) return false;
   auto now = clock_.now();
-  return now - reportedAt_ > settings_.timings.report + 2 * settings_.timings.reportPause ||
+  return now - lastReportAt_ > settings_.timings.report + 2 * settings_.timings.reportPause ||
          now - *drainingSince_ > settings_.timings.stop + settings_.timings.report;
 }
 
-const ZoneHomes& AgentNode::homes() const {
-  const auto* fleet = board().find(fleetTopic);
+const ZoneRelays& AgentNode::relays() const {
+  const auto* fleet = updates().find(fleetTopic);
   auto mark = fleet ? fleet->mark : 0;
-  if (mark == homesAt_) return homes_;
-  homesAt_ = mark;
+  if (mark == relaysMark_) return relays_;
+  relaysMark_ = mark;
   std::vector<Address> agents;
   for (auto entry = fleet->table.lower_bound(nodePrefix); entry != fleet->table.end() && entry->first.starts_with(nodePrefix); ++entry) {
-    auto news = unpacked<NodeNews>(entry->second);
-    if (news && news->zone == settings_.zone && !news->draining) agents.push_back(Address{entry->first.substr(nodePrefix.size())});
+    auto node = unpacked<PublishedNode>(entry->second);
+    if (node && node->zone == settings_.zone && !node->draining) agents.push_back(Address{entry->first.substr(nodePrefix.size())});
   }
-  homes_ = ZoneHomes{std::move(agents)};
-  return homes_;
+  relays_ = ZoneRelays{std::move(agents)};
+  return relays_;
 }
 
 std::vector<Address> AgentNode::sources(const Topic& topic) const {
-  // whole news come from the replicas: the link of a home has no room for them
-  auto own = isHome() ? std::nullopt : std::optional{settings_.address};
-  bool whole = board().completeMark(topic, own) == 0;
-  auto sources = whole ? std::vector<Address>{} : homes().of(topic, settings_.address);
+  // snapshots come from the replicas: the link of a relay has no capacity for them
+  auto onlyNode = isRelay() ? std::nullopt : std::optional{settings_.address};
+  bool needsSnapshot = updates().completeMark(topic, onlyNode) == 0;
+  auto sources = needsSnapshot ? std::vector<Address>{} : relays().relaysFor(topic, settings_.address);
   std::vector<Address> replicas(replicas_.begin(), replicas_.end());
   if (!replicas.empty())
     std::rotate(replicas.begin(),
-                replicas.begin() + static_cast<std::ptrdiff_t>(ZoneHomes::spread(settings_.address.get()) % replicas.size()),
+                replicas.begin() + static_cast<std::ptrdiff_t>(ZoneRelays::hash(settings_.address.get()) % replicas.size()),
                 replicas.end());
   sources.insert(sources.end(), replicas.begin(), replicas.end());
   return sources;
 }
 
-Task<void> AgentNode::peers() {
+Task<void> AgentNode::refreshReplicas() {
   for (std::size_t attempt = 0;; ++attempt) {
     std::vector<Address> replicas(replicas_.begin(), replicas_.end());
     auto bytes = co_await desk_.ask(replicas[attempt % replicas.size()], "peers", {}, clock_.now() + settings_.timings.newsPatience);
@@ -98,11 +98,11 @@
 }
 
 void AgentNode::report(NodeReport report) {
-  reportedAt_ = clock_.now();
+  lastReportAt_ = clock_.now();
   report.node = settings_.address;
   report.zone = settings_.zone;
-  if (!reports_.note(std::move(report))) return;
-  for (const auto& replica : replicas_) desk_.tell(replica, "report", reports_.tell(replica, clock_.now()));
+  if (!reports_.record(std::move(report))) return;
+  for (const auto& replica : replicas_) desk_.tell(replica, "report", reports_.nextMessage(replica, clock_.now()));
 }
 
 Task<DoorReply> AgentNode::serve(DoorRequest request) {
@@ -143,11 +143,11 @@
   nlohmann::json json;
   json["address"] = settings_.address.get();
   json["zone"] = settings_.zone.get();
-  for (const auto& [topic, followed] : news_.topics()) {
-    auto& own = json["topics"][topic];
-    own = {{"mark", board().mark(topic)}, {"source", followed.source.get()}};
+  for (const auto& [topic, followed] : follower_.topics()) {
+    auto& topicStatus = json["topics"][topic];
+    topicStatus = {{"mark", updates().mark(topic)}, {"source", followed.source.get()}};
     if (followed.leaseUntil && *followed.leaseUntil > clock_.now())
-      own["lease_ms"] = milliseconds(*followed.leaseUntil - clock_.now()).count();
+      topicStatus["lease_ms"] = milliseconds(*followed.leaseUntil - clock_.now()).count();
   }
   return json;
 }
--- a/src/wire/envelope.hpp
+++ b/src/wire/envelope.hpp
@@ -3,9 +3,12 @@
 #include <cstdint>
 #include <string>
 
+// The unit that a `PeerLink` carries between two processes.
+
 namespace tamarindshift {
 
-enum class Matter : std::uint8_t {
+/// Type of a message between processes. The numbers are part of the wire format.
+enum class MessageType : std::uint8_t {
   groupHeartbeat = 1,
   groupSubmit = 2,
   groupOrdered = 3,
@@ -14,15 +17,19 @@
   groupPrepare = 6,
   groupFlushed = 7,
   groupInstall = 8,
-  joinAsk = 16,
+  /// A server asks a member to be admitted to the group.
+  joinRequest = 16,
+  /// The state that an admitted server starts from.
   joinSnapshot = 17,
-  leftNotice = 18,
-  ask = 32,
+  /// Tells a server that it has been removed from the group.
+  removalNotice = 18,
+  request = 32,
   reply = 33,
 };
 
+/// A message: its type, and its packed content.
 struct Envelope {
-  Matter matter{};
+  MessageType type{};
   std::string body;
 };
 
--- a/tests/invariant_test.cpp
+++ b/tests/invariant_test.cpp
@@ -1,30 +1,30 @@
 #include <catch2/catch.hpp>
 
 #include "pooler/sending_check.hpp"
-#include "tests/check_trial.hpp"
+#include "tests/journal_fixture.hpp"
 #include "tests/pooler_trial.hpp"
 
 using namespace tamarindshift;
 
 namespace {
 
-struct Trial : CheckTrial {
+struct Trial : JournalFixture {
   SendingFacts sound() const {
     SendingFacts facts;
-    facts.keepsSomething = true;
+    facts.makesDurable = true;
     facts.asPrimary = true;
     return facts;
   }
-  /// Checks what is sent and takes the violations back, which would fail the case otherwise.
+  /// Checks a send and clears the violations, which would otherwise fail the test case.
   std::size_t violations(const SendingFacts& facts) {
     checkSending(journal, facts, 7s);
-    return CheckTrial::violations();
+    return JournalFixture::violations();
   }
 };
 
 }  // namespace
 
-TEST_CASE("invariants: sound sending violates none and counts the checks") {
+TEST_CASE("invariants: a correct send violates none and counts the checks") {
   Trial trial;
   CHECK(trial.violations(trial.sound()) == 0);
   CHECK(trial.journal.invariant(Invariant::workUnderLease).checked == 1);
@@ -32,7 +32,7 @@
   CHECK(trial.journal.violations() == 0);
 }
 
-TEST_CASE("invariants: each rule of sending is noticed when it is broken") {
+TEST_CASE("invariants: a violation of each rule of sending is detected") {
   Trial trial;
   auto broken = trial.sound();
   auto expected = Invariant::workUnderLease;
@@ -61,11 +61,11 @@
   CHECK(trial.lines.front().find(invariantName(expected)) != std::string::npos);
 }
 
-TEST_CASE("invariants: what is allowed is not taken for a violation") {
+TEST_CASE("invariants: what is allowed is not reported as a violation") {
   Trial trial;
   auto allowed = trial.sound();
   SECTION("a read after a read that may have run") {
-    allowed.keepsSomething = false;
+    allowed.makesDurable = false;
     allowed.mayHaveRunBefore = true;
   }
   SECTION("a replica needs no epoch") {
@@ -76,7 +76,7 @@
     allowed.begins = false;
     allowed.drainedFor = 20s;
   }
-  SECTION("values laid on a connection without a lease") {
+  SECTION("session state set on a connection without a lease") {
     allowed.clientWork = false;
     allowed.leased = false;
   }
@@ -97,10 +97,10 @@
   trial.publishFleet();
   trial.run(200ms);
   REQUIRE(SimulatedJournal::takeViolations().empty());
-  FleetPlanNews older;
-  older.mark = PlanMark{1};
+  PublishedFleetPlan older;
+  older.mark = PlanVersion{1};
   for (const auto& [name, kind] : trial.kinds) older.kinds[name] = kind.service;
-  trial.news.putPlan(fleetTopic, older);
+  trial.updates.putPlan(fleetTopic, older);
   trial.run(200ms);
   CHECK(SimulatedJournal::takeViolations().size() == 1);
   CHECK(trial.journal.invariant(Invariant::planNeverGoesBack).violated == 1);
--- a/tests/platform/adapter_programs.cpp
+++ b/tests/platform/adapter_programs.cpp
@@ -10,9 +10,9 @@
       link_(process.network(), process.clock(), process.machine().internal()),
       boot_(process.world().below(std::uint64_t{1} << 62)),
       agent_(process.clock(), link_, process.journal(), agentSettings(process), boot_),
-      guide_(process.clock(), wrapped<NewsFeed>(wraps_.feed, agent_, feed_), process.machine().internal(), boot_),
+      guide_(process.clock(), wrapped<UpdateFeed>(wraps_.feed, agent_, feed_), process.machine().internal(), boot_),
       wireBackEnds_(process.lines(), "pooler"),
-      pooler_(process.clock(), guide_, wrapped<BackEnds>(wraps_.backEnds, wireBackEnds_, backEnds_), process.journal(),
+      pooler_(process.clock(), guide_, wrapped<BackEndConnector>(wraps_.backEnds, wireBackEnds_, backEnds_), process.journal(),
               poolerSettings(process), boot_,
               [this](NodeReport report) {
                 agent_.report(std::move(report));
@@ -30,8 +30,8 @@
 }
 
 void AccessProgram::settingsChanged() {
-  agent_.change(agentSettings(process_));
-  pooler_.change(poolerSettings(process_));
+  agent_.updateSettings(agentSettings(process_));
+  pooler_.updateSettings(poolerSettings(process_));
 }
 
 CoreProgram::CoreProgram(PlatformProcess& process, AdapterWraps wraps)
@@ -67,7 +67,7 @@
 }
 
 void CoreProgram::settingsChanged() {
-  replica_.change(replicaSettings(process_));
+  replica_.updateSettings(replicaSettings(process_));
   wireDatabases_.change(process_.platformApi);
 }
 
--- a/tests/platform/adapter_programs.hpp
+++ b/tests/platform/adapter_programs.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "news/agent_node.hpp"
+#include "updates/agent_node.hpp"
 #include "platform/control_door.hpp"
 #include "platform/front_door.hpp"
 #include "platform/readiness_door.hpp"
@@ -18,7 +18,7 @@
   AccessProgram(PlatformProcess& process, AdapterWraps wraps);
   Task<void> stop() override;
   void settingsChanged() override;
-  std::optional<std::string> notReady() const override { return pooler_.notReady(); }
+  std::optional<std::string> notReady() const override { return pooler_.notReadyReason(); }
   Pooler& pooler() { return pooler_; }
   AgentNode& agent() { return agent_; }
   DoorKeeper& readiness() { return readinessDoor_; }
@@ -29,10 +29,10 @@
   SimulatedLink link_;
   std::uint64_t boot_;
   AgentNode agent_;
-  std::unique_ptr<NewsFeed> feed_;
-  Guide guide_;
+  std::unique_ptr<UpdateFeed> feed_;
+  ServiceDirectory guide_;
   platform::WireBackEnds wireBackEnds_;
-  std::unique_ptr<BackEnds> backEnds_;
+  std::unique_ptr<BackEndConnector> backEnds_;
   Pooler pooler_;
   platform::FrontDoor frontDoor_;
   platform::ReadinessDoor readinessDoor_;
--- a/tests/platform/adapter_settings.cpp
+++ b/tests/platform/adapter_settings.cpp
@@ -30,7 +30,7 @@
   settings.address = process.machine().internal();
   settings.zone = Zone{process.machine().zone};
   settings.seeds = peers(process);
-  settings.signs = false;
+  settings.databaseReports = false;
   settings.timings = timings(process);
   return settings;
 }
@@ -50,8 +50,8 @@
   settings.seeds = peers(process);
   settings.timings = timings(process);
   settings.timings.databaseHeartbeat = 1200ms;
-  settings.mayFound = process.machine().firstStart;
-  settings.losses = process.shape().losses;
+  settings.mayBootstrap = process.machine().firstStart;
+  settings.toleratedLosses = process.shape().losses;
   settings.rations = true;
   return settings;
 }
--- a/tests/platform/broken_adapters.cpp
+++ b/tests/platform/broken_adapters.cpp
@@ -11,7 +11,7 @@
 class OtherConnection : public BackEndConnection {
  public:
   OtherConnection(std::unique_ptr<BackEndConnection> own, BackEndRun run) : own_(std::move(own)), run_(run) {}
-  Task<BackEndReply> run(Statement statement, std::optional<Place> after, Instant deadline) override {
+  Task<BackEndReply> run(Statement statement, std::optional<LogPosition> after, Instant deadline) override {
     return run_(*own_, std::move(statement), after, deadline);
   }
   bool usable() const override { return own_->usable(); }
@@ -22,48 +22,48 @@
   BackEndRun run_;
 };
 
-class OtherRuns : public BackEnds {
+class OtherRuns : public BackEndConnector {
  public:
-  OtherRuns(BackEnds& own, BackEndRun run) : own_(own), run_(run) {}
-  Task<BackEndOpening> open(DatabaseTarget target, Instant deadline) override {
+  OtherRuns(BackEndConnector& own, BackEndRun run) : own_(own), run_(run) {}
+  Task<BackEndOpenResult> open(DatabaseTarget target, Instant deadline) override {
     auto opening = co_await own_.open(std::move(target), deadline);
     if (opening.connection) opening.connection = std::make_unique<OtherConnection>(std::move(opening.connection), run_);
     co_return opening;
   }
 
  private:
-  BackEnds& own_;
+  BackEndConnector& own_;
   BackEndRun run_;
 };
 
-class AnotherService : public BackEnds {
+class AnotherService : public BackEndConnector {
  public:
-  explicit AnotherService(BackEnds& own) : own_(own) {}
-  Task<BackEndOpening> open(DatabaseTarget target, Instant deadline) override {
+  explicit AnotherService(BackEndConnector& own) : own_(own) {}
+  Task<BackEndOpenResult> open(DatabaseTarget target, Instant deadline) override {
     if (target.service == ServiceName{"service-2"}) seen_ = target;
     if (seen_) target = *seen_;
     co_return co_await own_.open(std::move(target), deadline);
   }
 
  private:
-  BackEnds& own_;
+  BackEndConnector& own_;
   std::optional<DatabaseTarget> seen_;
 };
 
-class EndlessLeases : public NewsFeed {
+class EndlessLeases : public UpdateFeed {
  public:
-  EndlessLeases(NewsFeed& own, Clock& clock) : own_(own), clock_(clock) {}
-  const NewsBoard& board() const override { return own_.board(); }
+  EndlessLeases(UpdateFeed& own, Clock& clock) : own_(own), clock_(clock) {}
+  const UpdateStore& updates() const override { return own_.updates(); }
   Gate& changed() override { return own_.changed(); }
   std::optional<Instant> leaseUntil(const Topic& topic) override {
     auto until = own_.leaseUntil(topic);
-    return until || own_.board().find(topic) ? std::optional{clock_.now() + 2s} : std::nullopt;
+    return until || own_.updates().find(topic) ? std::optional{clock_.now() + 2s} : std::nullopt;
   }
-  std::vector<DatabaseSign> signs(const Topic& topic) override { return own_.signs(topic); }
+  std::vector<DatabaseReport> databaseReports(const Topic& topic) override { return own_.databaseReports(topic); }
   std::uint64_t position(const Topic& topic) override { return own_.position(topic); }
 
  private:
-  NewsFeed& own_;
+  UpdateFeed& own_;
   Clock& clock_;
 };
 
@@ -114,10 +114,10 @@
 class DatabasesMisled : public DatabaseControl {
  public:
   explicit DatabasesMisled(DatabaseControl& own) : own_(own) {}
-  Task<std::optional<DatabaseStanding>> status(DatabaseTarget target, Instant deadline) override {
+  Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) override {
     return own_.status(std::move(target), deadline);
   }
-  Task<std::optional<DatabaseStanding>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override {
+  Task<std::optional<DatabaseStatus>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override {
     return own_.demote(std::move(target), epoch, deadline);
   }
   Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) override {
@@ -131,7 +131,7 @@
 class EmptiestChosen : public DatabasesMisled {
  public:
   using DatabasesMisled::DatabasesMisled;
-  Task<std::optional<DatabaseStanding>> status(DatabaseTarget target, Instant deadline) override {
+  Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) override {
     auto standing = co_await own_.status(std::move(target), deadline);
     if (standing) standing->position = Position{1'000'000'000 - standing->position.get()};
     co_return standing;
@@ -142,7 +142,7 @@
  public:
   using DatabasesMisled::DatabasesMisled;
   Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) override {
-    holder.fence = 1'000'000 - epoch.get();
+    holder.fencingToken = 1'000'000 - epoch.get();
     return own_.promote(std::move(target), epoch, std::move(holder), deadline);
   }
 };
@@ -156,8 +156,8 @@
   void rewrite(const std::vector<std::string>& records) override {
     for (const auto& record : records) own_.append(record);
   }
-  std::size_t length() const override { return own_.length(); }
-  bool refusing() const override { return own_.refusing(); }
+  std::size_t sizeBytes() const override { return own_.sizeBytes(); }
+  bool refusesWrites() const override { return own_.refusesWrites(); }
   const std::string& lastReason() const override { return own_.lastReason(); }
 
  private:
@@ -169,7 +169,7 @@
 
 AdapterWraps runsOtherwise(BackEndRun run) {
   AdapterWraps wraps;
-  wraps.backEnds = [run](BackEnds& own) {
+  wraps.backEnds = [run](BackEndConnector& own) {
     return std::make_unique<OtherRuns>(own, run);
   };
   return wraps;
@@ -177,7 +177,7 @@
 
 AdapterWraps sendsToAnotherService() {
   AdapterWraps wraps;
-  wraps.backEnds = [](BackEnds& own) {
+  wraps.backEnds = [](BackEndConnector& own) {
     return std::make_unique<AnotherService>(own);
   };
   return wraps;
@@ -185,7 +185,7 @@
 
 AdapterWraps checksNoLease(Clock& clock) {
   AdapterWraps wraps;
-  wraps.feed = [&clock](NewsFeed& own) {
+  wraps.feed = [&clock](UpdateFeed& own) {
     return std::make_unique<EndlessLeases>(own, clock);
   };
   return wraps;
--- a/tests/platform/control_door_test.cpp
+++ b/tests/platform/control_door_test.cpp
@@ -19,7 +19,7 @@
 struct ControlDoors : DiscoveredCluster {
   ControlDoors() {
     for (std::size_t index = 0; index < 3; ++index)
-      doors.push_back(std::make_unique<platform::ControlDoor>(replica(index), *ownClocks[index]));
+      doors.push_back(std::make_unique<platform::ControlDoor>(replica(index), *replicaClocks[index]));
   }
 
   static std::string configuration(std::uint64_t revision, unsigned guard = 800) {
@@ -38,15 +38,17 @@
   Task<DoorReply> call(std::size_t index, const std::string& method, const std::string& path, std::string body = {}) {
     return doors[index]->serve(DoorRequest{method, path, std::move(body), ConnectionId{1}});
   }
-  int replace(std::size_t index, const std::string& body) { return ask(call(index, "POST", "/api/Configuration.Replace", body)).status; }
-  int detach(std::size_t index, const std::string& id) { return ask(call(index, "POST", "/api/Instances.Detach/" + id)).status; }
-  DoorReply retrieve(std::size_t index) { return ask(call(index, "GET", "/api/Configuration.Retrieve")); }
+  int replace(std::size_t index, const std::string& body) {
+    return awaitReply(call(index, "POST", "/api/Configuration.Replace", body)).status;
+  }
+  int detach(std::size_t index, const std::string& id) { return awaitReply(call(index, "POST", "/api/Instances.Detach/" + id)).status; }
+  DoorReply retrieve(std::size_t index) { return awaitReply(call(index, "GET", "/api/Configuration.Retrieve")); }
   int beat(std::size_t index, const std::string& id, std::uint64_t number, const std::string& condition = "in_service") {
     nlohmann::json body{{"targetService", "s1"},  {"address", "10.2.0." + id.substr(1) + ":1"},
                         {"zone", "z1"},           {"capacity", 5},
                         {"condition", condition}, {"callCount", number},
                         {"dbRole", "replica"}};
-    return ask(call(index, "POST", "/api/Instances.Heartbeat/" + id, body.dump())).status;
+    return awaitReply(call(index, "POST", "/api/Instances.Heartbeat/" + id, body.dump())).status;
   }
 
   /// Sends two configurations at the same instant to two members and says which statuses came.
@@ -86,7 +88,7 @@
   REQUIRE(cluster.replace(0, cluster.configuration(10)) == 200);
   cluster.run(1s);
   cluster.cutOff(2);
-  cluster.databases.at("d3").silent = true;
+  cluster.databases.at("d3").heartbeatsStopped = true;
   for (int second = 0; second < 20; ++second) {
     INFO("second " << second);
     CHECK(cluster.replace(2, cluster.configuration(10)) >= 500);
@@ -173,19 +175,19 @@
 
 TEST_CASE("a database that sends Detach first and goes on beating is not taken in again") {
   ControlDoors cluster;
-  cluster.databases.at("d3").silent = true;
+  cluster.databases.at("d3").heartbeatsStopped = true;
   CHECK(cluster.detach(1, "d3") == 200);
   for (std::uint64_t number = 100; number < 108; ++number) {
     CHECK(cluster.beat(number % 3, "d3", number) == 200);
     cluster.run(1s);
-    CHECK((!cluster.enrolledAt(0, "d3") || cluster.replica(0).state().drained(ServiceName{"s1"}, DatabaseName{"d3"})));
+    CHECK((!cluster.enrolledAt(0, "d3") || cluster.replica(0).state().drainMark(ServiceName{"s1"}, DatabaseName{"d3"})));
   }
   CHECK_FALSE(cluster.enrolledAt(0, "d3"));
 }
 
 TEST_CASE("a heartbeat that says quiescing is acknowledged by no member before the drain is ordered, though another relayed it") {
   ControlDoors cluster;
-  cluster.databases.at("d3").silent = true;
+  cluster.databases.at("d3").heartbeatsStopped = true;
   cluster.run(100ms);
   // the first member hears it, relays it and loses the group before it could order the drain
   TaskScope tasks;
@@ -196,12 +198,12 @@
   cluster.run(1ms);
   cluster.cutOff(2);
   cluster.run(1ms);
-  REQUIRE(cluster.replica(0).access().database(ServiceName{"s1"}, DatabaseName{"d3"})->heartbeat.leaving);
+  REQUIRE(cluster.replica(0).reports().database(ServiceName{"s1"}, DatabaseName{"d3"})->heartbeat.leaving);
   std::optional<DoorReply> again;
   tasks.spawn(answering(cluster.call(0, "POST", "/api/Instances.Heartbeat/d3", body.dump()), again));
   for (int steps = 0; steps < 4000 && !again; ++steps) cluster.run(1ms);
   REQUIRE(again);
-  CHECK((again->status != 200 || cluster.replica(0).state().drained(ServiceName{"s1"}, DatabaseName{"d3"})));
+  CHECK((again->status != 200 || cluster.replica(0).state().drainMark(ServiceName{"s1"}, DatabaseName{"d3"})));
 }
 
 TEST_CASE("a database whose id is no plain text is refused and keeps no page from being shown") {
@@ -211,7 +213,7 @@
   auto beat = [&](const std::string& id, const std::string& address, const std::string& zone) {
     nlohmann::json body{{"targetService", "s1"},     {"address", address}, {"zone", zone},       {"capacity", 5},
                         {"condition", "in_service"}, {"callCount", 1},     {"dbRole", "replica"}};
-    return cluster.ask(cluster.call(0, "POST", "/api/Instances.Heartbeat/" + id, body.dump())).status;
+    return cluster.awaitReply(cluster.call(0, "POST", "/api/Instances.Heartbeat/" + id, body.dump())).status;
   };
   CHECK(beat("i-\xff\xfe", "10.2.0.9:1", "z1") == 400);
   CHECK(beat("i 9", "10.2.0.9:1", "z1") == 400);
@@ -219,8 +221,8 @@
   CHECK(beat("i9", "no address", "z1") == 400);
   CHECK(beat("i9", "10.2.0.9:1\r\nX: y", "z1") == 400);
   CHECK(beat("i9", "10.2.0.9:1", std::string(1 << 20, 'z')) == 400);
-  CHECK(cluster.ask(cluster.call(0, "POST", "/api/Instances.Detach/i-\xff")).status == 400);
+  CHECK(cluster.awaitReply(cluster.call(0, "POST", "/api/Instances.Detach/i-\xff")).status == 400);
   cluster.run(1s);
-  CHECK(cluster.ask(cluster.call(0, "GET", "/status")).status == 200);
+  CHECK(cluster.awaitReply(cluster.call(0, "GET", "/status")).status == 200);
   CHECK(beat("i9", "10.2.0.9:1", "z1") == 200);
 }
--- a/tests/pooler_rejoin_test.cpp
+++ b/tests/pooler_rejoin_test.cpp
@@ -20,18 +20,18 @@
   return sum;
 }
 
-PoolerTrial::Choice ofShare(std::uint32_t most, std::uint64_t seed = 1) {
-  PoolerTrial::Choice choice;
-  choice.share = most;
-  choice.seed = seed;
-  return choice;
+PoolerTrial::Options optionsWithShare(std::uint32_t most, std::uint64_t seed = 1) {
+  PoolerTrial::Options options;
+  options.share = most;
+  options.seed = seed;
+  return options;
 }
 
 }  // namespace
 
-TEST_CASE("pooler rejoins: without a lease all connections are closed, whatever they are doing", "[pooler][rejoin]") {
+TEST_CASE("pooler rejoins: without a lease all connections are closed, busy ones too", "[pooler][rejoin]") {
   PoolerTrial trial;
-  trial.kinds.at(KindName{"strict"}).statement = 10s;
+  trial.kinds.at(KindName{"strict"}).statementTimeout = 10s;
   trial.publishService();
   trial.run(20ms);
   auto rests = trial.client("rests");
@@ -39,7 +39,7 @@
   CHECK(rests->ask("WRITE a 1") == "OK");
   auto ended = trial.client("ended");
   CHECK(ended->ask("READ a") == "OK");
-  trial.backEnds.at("d1").work = 8s;
+  trial.backEnds.at("d1").runTime = 8s;
   auto works = trial.client("works");
   auto running = works->start("WRITE b 1");
   trial.run(50ms);
@@ -49,14 +49,14 @@
   CHECK(connections(trial) == 0);
   REQUIRE(running->reply);
   CHECK(running->outcome() == "UNRESOLVED");
-  trial.backEnds.at("d1").work = 5ms;
+  trial.backEnds.at("d1").runTime = 5ms;
   trial.renewLease();
   CHECK(rests->ask("COMMIT") == "ABORTED");
   CHECK(rests->ask("READ a") == "OK");
   CHECK(ended->ask("WRITE c 1") == "OK");
 }
 
-TEST_CASE("pooler rejoins: a short lapse costs no connection", "[pooler][rejoin]") {
+TEST_CASE("pooler rejoins: a short lapse of the lease closes no connection", "[pooler][rejoin]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "OK");
@@ -68,13 +68,13 @@
   CHECK(openings(trial) == before);
 }
 
-TEST_CASE("pooler rejoins: nothing is opened without a lease, not to try a suspected database either", "[pooler][rejoin]") {
+TEST_CASE("pooler rejoins: without a lease no connection is opened, not even to probe a suspected database", "[pooler][rejoin]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  SECTION("a trial of a suspected one") {
+  SECTION("a probe of a suspected database") {
     trial.backEnds.at("d1").opening = ScriptedOpening::refused;
-    trial.backEnds.breakOff("d1");
+    trial.backEnds.closeConnections("d1");
     CHECK(alice->ask("WRITE a 2") == "CONGESTED");
     trial.backEnds.at("d1").opening = ScriptedOpening::accepted;
     trial.endLease();
@@ -83,13 +83,13 @@
     trial.run(5s);
     CHECK(openings(trial) == before);
   }
-  SECTION("one instead of a lost one") {
-    trial.backEnds.at("d1").work = 200ms;
+  SECTION("a replacement of a lost connection") {
+    trial.backEnds.at("d1").runTime = 200ms;
     auto running = alice->start("WRITE a 2");
     trial.run(50ms);
     trial.endLease();
     auto before = openings(trial);
-    trial.backEnds.breakOff("d1");
+    trial.backEnds.closeConnections("d1");
     CHECK(alice->finish(running) == "UNRESOLVED");
     trial.run(5s);
     CHECK(openings(trial) == before);
@@ -97,32 +97,32 @@
   CHECK(connections(trial) == 0);
 }
 
-TEST_CASE("pooler rejoins: a connection that opens after the share has fallen is closed in the same moment", "[pooler][rejoin]") {
-  PoolerTrial trial(ofShare(4));
-  trial.backEnds.at("d1").openWork = 60ms;
+TEST_CASE("pooler rejoins: a connection that opens after the share was reduced is closed at once", "[pooler][rejoin]") {
+  PoolerTrial trial(optionsWithShare(4));
+  trial.backEnds.at("d1").openTime = 60ms;
   auto alice = trial.client("alice");
   auto asked = alice->start("WRITE a 1");
   trial.run(10ms);
   CHECK(trial.backEnds.at("d1").openings == 1);
-  trial.share(0);
+  trial.publishShare(0);
   for (int step = 0; step < 100; ++step) {
     trial.run(1ms);
     CHECK(trial.backEnds.at("d1").connections == 0);
   }
   CHECK(alice->finish(asked) == "CONGESTED");
-  CHECK(trial.serviceReport().followed == trial.news.mark("s1"));
+  CHECK(trial.serviceReport().appliedPosition == trial.updates.mark("s1"));
 }
 
-TEST_CASE("pooler rejoins: after a lapse a session finds its values, names and own writes", "[pooler][rejoin]") {
+TEST_CASE("pooler rejoins: after a lapse a session has its variables, prepared names and own writes", "[pooler][rejoin]") {
   PoolerTrial trial;
   auto alice = trial.client("alice", "house");
   CHECK(alice->ask("SET zone z9") == "OK");
   CHECK(alice->ask("PREPARE p READ q") == "OK");
   CHECK(alice->ask("WRITE a 1") == "OK");
-  auto own = trial.backEnds.at("d1").place;
+  auto own = trial.backEnds.at("d1").logPosition;
   for (const char* replica : {"d2", "d3"}) trial.backEnds.at(replica).lag = 10s;
   CHECK(alice->ask("WRITE a 2") == "OK");
-  own = trial.backEnds.at("d1").place;
+  own = trial.backEnds.at("d1").logPosition;
   trial.endLease();
   trial.run(trial.settings.timings.connectionsKept + 500ms);
   CHECK(connections(trial) == 0);
@@ -133,18 +133,18 @@
     return run.ran;
   });
   REQUIRE(ran != runs.end());
-  CHECK(ran->place >= own);
+  CHECK(ran->logPosition >= own);
   CHECK(ran->values.at("zone") == "z9");
 }
 
-TEST_CASE("pooler rejoins: whatever happens to lease, share, primary and connections, promises and sessions hold",
+TEST_CASE("pooler rejoins: guarantees and session state survive changes of lease, share, primary and connections",
           "[pooler][rejoin][seeds]") {
   for (std::uint64_t seed = 500; seed < 520; ++seed) {
-    PoolerTrial trial(ofShare(3, seed));
+    PoolerTrial trial(optionsWithShare(3, seed));
     INFO("seed " << seed);
     auto& world = trial.world;
     std::vector<std::unique_ptr<TrialClient>> clients;
-    std::vector<std::shared_ptr<Asked>> asked;
+    std::vector<std::shared_ptr<SentStatement>> asked;
     std::vector<int> steps;
     static const char* const routes[] = {"strict", "bounded", "house"};
     for (int number = 0; number < 9; ++number) {
@@ -152,13 +152,13 @@
       asked.push_back(nullptr);
       steps.push_back(0);
     }
-    for (auto& [name, kind] : trial.kinds) kind.statement = 600ms;
+    for (auto& [name, kind] : trial.kinds) kind.statementTimeout = 600ms;
     trial.publishService();
-    trial.backEnds.at("d1").rollbackForgets = trial.backEnds.at("d2").rollbackForgets = seed % 2 == 0;
+    trial.backEnds.at("d1").rollbackRestoresState = trial.backEnds.at("d2").rollbackRestoresState = seed % 2 == 0;
     std::uint64_t epoch = 1;
     std::string primary = "d1";
     constexpr auto never = Instant::max();
-    auto lapsedAt = never;
+    auto leaseEndedAt = never;
     auto promotesAt = never;
     std::string next;
     auto text = [&](std::size_t index) -> std::string {
@@ -199,16 +199,16 @@
         if (world.chance(200)) asked[index] = clients[index]->start(text(index));
       }
       if (world.chance(2)) {
-        if (lapsedAt != never) {
+        if (leaseEndedAt != never) {
           trial.renewLease();
-          lapsedAt = never;
+          leaseEndedAt = never;
         } else {
           trial.endLease();
-          lapsedAt = world.now();
+          leaseEndedAt = world.now();
         }
       }
-      if (world.chance(3)) trial.share(static_cast<std::uint32_t>(world.below(5)));
-      if (world.chance(4)) trial.backEnds.breakOff("d" + std::to_string(1 + world.below(3)));
+      if (world.chance(3)) trial.publishShare(static_cast<std::uint32_t>(world.below(5)));
+      if (world.chance(4)) trial.backEnds.closeConnections("d" + std::to_string(1 + world.below(3)));
       if (world.chance(2))
         trial.backEnds.script(primary, StatementKind::commit,
                               world.chance(500) ? ScriptedOutcome::lostAfterRunning : ScriptedOutcome::busy);
@@ -216,25 +216,26 @@
         trial.backEnds.script(primary, StatementKind::write,
                               world.chance(500) ? ScriptedOutcome::lostBeforeRunning : ScriptedOutcome::slow);
       if (world.chance(2))
-        trial.backEnds.at("d" + std::to_string(1 + world.below(3))).openWork = std::chrono::milliseconds{1 + world.below(100)};
+        trial.backEnds.at("d" + std::to_string(1 + world.below(3))).openTime = std::chrono::milliseconds{1 + world.below(100)};
       if (promotesAt == never && world.chance(2)) {
         next = primary == "d1" ? "d2" : "d1";
-        trial.primary(++epoch, next, false, world.chance(500));
+        trial.publishPrimary(++epoch, next, false, world.chance(500));
         promotesAt = world.now() + std::chrono::milliseconds{600 + world.below(600)};
       }
-      if (world.now() >= promotesAt && lapsedAt == never) {
-        // as the platform does it: the chosen one has what was acknowledged, and the nodes have reported
-        trial.backEnds.at(next).place = std::max(trial.backEnds.at(next).place, trial.backEnds.at(primary).place);
-        trial.leads(next);
+      if (world.now() >= promotesAt && leaseEndedAt == never) {
+        // as in a real promotion: the new primary has all acknowledged commits, and the nodes have reported the epoch
+        trial.backEnds.at(next).logPosition = std::max(trial.backEnds.at(next).logPosition, trial.backEnds.at(primary).logPosition);
+        trial.makePrimary(next);
         primary = next;
-        trial.primary(epoch, primary, true);
+        trial.publishPrimary(epoch, primary, true);
         promotesAt = never;
       }
       trial.run(1ms);
-      if (lapsedAt != never && world.now() - lapsedAt > trial.settings.timings.connectionsKept + 200ms) CHECK(connections(trial) == 0);
+      if (leaseEndedAt != never && world.now() - leaseEndedAt > trial.settings.timings.connectionsKept + 200ms)
+        CHECK(connections(trial) == 0);
     }
     trial.renewLease();
-    trial.share(3);
+    trial.publishShare(3);
     for (auto& each : asked)
       if (each)
         trial.runUntil(5s, [&] {
--- a/tests/pooler_sends_test.cpp
+++ b/tests/pooler_sends_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace tamarindshift;
 
-TEST_CASE("pooler sends: a statement of a transaction is not passed if its lease ended while names were laid", "[pooler][sends]") {
+TEST_CASE("pooler sends: a transaction's statement is not sent if the lease ended while names were being prepared", "[pooler][sends]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   bool lease = GENERATE(true, false);
@@ -17,13 +17,13 @@
   if (lease)
     trial.endLease();
   else
-    trial.primary(2, "d2", false);
+    trial.publishPrimary(2, "d2", false);
   CHECK(alice->finish(asked) == "ABORTED");
   CHECK(trial.runsOf("EXECUTE p a 2").empty());
   CHECK(alice->ask("ROLLBACK") == "OK");
 }
 
-TEST_CASE("pooler sends: a COMMIT that was busy is not passed again once the lease or epoch is over", "[pooler][sends]") {
+TEST_CASE("pooler sends: a busy COMMIT is not sent again once the lease or epoch has ended", "[pooler][sends]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   bool lease = GENERATE(true, false);
@@ -38,13 +38,13 @@
   if (lease)
     trial.endLease();
   else
-    trial.primary(2, "d2", false);
+    trial.publishPrimary(2, "d2", false);
   CHECK(alice->finish(asked) == "ABORTED");
   CHECK(alice->last->reply->state == TransactionState::idle);
   CHECK(trial.runsOf("COMMIT").size() == 4);
 }
 
-TEST_CASE("pooler sends: a promise inside a transaction ends it, so that nothing of it can be kept", "[pooler][sends]") {
+TEST_CASE("pooler sends: a fault that guarantees no effect ends the transaction, so that none of it can be committed", "[pooler][sends]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("BEGIN") == "OK");
@@ -52,30 +52,30 @@
   for (int times = 0; times < 200; ++times) trial.backEnds.script("d1", StatementKind::write, ScriptedOutcome::busy);
   CHECK(alice->ask("WRITE a 2") == "CONGESTED");
   CHECK(alice->last->reply->state == TransactionState::failed);
-  CHECK(alice->last->reply->comeBack);
+  CHECK(alice->last->reply->retryAfter);
   CHECK(alice->ask("COMMIT") == "ABORTED");
   trial.run(100ms);
   CHECK(trial.backEnds.at("d1").committed.empty());
 }
 
-TEST_CASE("pooler sends: a COMMIT that stays busy is refused with when to come back", "[pooler][sends]") {
+TEST_CASE("pooler sends: a COMMIT that stays busy is refused with a retry time", "[pooler][sends]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("BEGIN") == "OK");
   CHECK(alice->ask("WRITE a 1") == "OK");
   for (int times = 0; times < 200; ++times) trial.backEnds.script("d1", StatementKind::commit, ScriptedOutcome::busy);
   CHECK(alice->ask("COMMIT") == "CONGESTED");
-  CHECK(alice->last->reply->comeBack);
+  CHECK(alice->last->reply->retryAfter);
   CHECK(alice->last->reply->state == TransactionState::idle);
   trial.run(100ms);
   CHECK(trial.backEnds.at("d1").committed.empty());
 }
 
-TEST_CASE("pooler sends: names laid inside a transaction that was rolled back are laid anew", "[pooler][sends]") {
-  PoolerTrial::Choice choice;
-  choice.share = 1;
-  PoolerTrial trial(choice);
-  trial.backEnds.at("d1").rollbackForgets = GENERATE(true, false);
+TEST_CASE("pooler sends: names prepared inside a rolled-back transaction are prepared again", "[pooler][sends]") {
+  PoolerTrial::Options options;
+  options.share = 1;
+  PoolerTrial trial(options);
+  trial.backEnds.at("d1").rollbackRestoresState = GENERATE(true, false);
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
   auto how = GENERATE(as<std::string>{}, "ROLLBACK", "leaves", "fails");
--- a/tests/pooler_status_test.cpp
+++ b/tests/pooler_status_test.cpp
@@ -17,16 +17,16 @@
 
 }  // namespace
 
-TEST_CASE("pooler status: what waits is counted by precedence with the longest wait", "[pooler][status]") {
-  PoolerTrial::Choice choice;
-  choice.share = 1;
-  PoolerTrial trial(choice);
-  trial.route("urgent", Consistency::primary, 0);
+TEST_CASE("pooler status: waiting statements are counted by precedence with the longest wait", "[pooler][status]") {
+  PoolerTrial::Options options;
+  options.share = 1;
+  PoolerTrial trial(options);
+  trial.addRoute("urgent", Consistency::primary, 0);
   trial.publishFleet();
   trial.publishService();
   trial.run(200ms);
   CHECK(trial.pooler->status().at("queue").empty());
-  trial.backEnds.at("d1").work = 300ms;
+  trial.backEnds.at("d1").runTime = 300ms;
   auto alice = trial.client("alice");
   auto bob = trial.client("bob");
   auto carol = trial.client("carol", "urgent");
@@ -44,28 +44,28 @@
   CHECK(trial.pooler->status().at("queue").empty());
 }
 
-TEST_CASE("pooler status: a database that is not used has its reasons", "[pooler][status]") {
+TEST_CASE("pooler status: a database that is not used is listed with the reasons", "[pooler][status]") {
   PoolerTrial trial;
   CHECK_FALSE(database(trial, "d2").contains("unused"));
-  trial.drained("d2");
+  trial.publishDrained("d2");
   trial.run(200ms);
   CHECK(database(trial, "d2").at("unused") == Json::array({"drained"}));
   auto alice = trial.client("alice");
-  trial.backEnds.at("d1").dark = true;
+  trial.backEnds.at("d1").unresponsive = true;
   alice->start("READ a");
   trial.run(900ms);
   auto reasons = database(trial, "d1").at("unused");
   CHECK(std::find(reasons.begin(), reasons.end(), "suspected") != reasons.end());
   CHECK(service(trial).at("waits") == Json::array({"the primary is suspected"}));
-  trial.backEnds.at("d1").dark = false;
+  trial.backEnds.at("d1").unresponsive = false;
   trial.run(2s);
 }
 
-TEST_CASE("pooler status: a service that waits says for what", "[pooler][status]") {
+TEST_CASE("pooler status: an unavailable service is listed with the reasons", "[pooler][status]") {
   PoolerTrial trial;
   CHECK_FALSE(service(trial).contains("waits"));
   CHECK(service(trial).at("lease_ms") == 2000);
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   trial.run(200ms);
   CHECK(service(trial).at("waits") == Json::array({"the primary is being recovered"}));
   trial.endLease();
@@ -74,18 +74,18 @@
   CHECK(service(trial).at("waits").at(0) == "no current lease");
 }
 
-TEST_CASE("pooler status: a node without a share says why", "[pooler][status]") {
+TEST_CASE("pooler status: a node without a share states the reason", "[pooler][status]") {
   PoolerTrial trial;
   CHECK_FALSE(service(trial).contains("shareless"));
-  trial.share(0);
+  trial.publishShare(0);
   trial.run(200ms);
   CHECK(service(trial).at("shareless") == "nothing is granted; the status of the duty holder says why");
-  NodeNews other;
+  PublishedNode other;
   other.boot = 99;
-  trial.news.put(fleetTopic, "node/10.1.0.1:1", other);
+  trial.updates.put(fleetTopic, "node/10.1.0.1:1", other);
   trial.run(200ms);
   CHECK(service(trial).at("shareless") == "registered under another boot");
-  trial.news.remove(fleetTopic, "node/10.1.0.1:1");
+  trial.updates.remove(fleetTopic, "node/10.1.0.1:1");
   trial.run(200ms);
   CHECK(service(trial).at("shareless") == "not registered");
   CHECK(trial.pooler->status().at("ready") == false);
--- a/tests/pooler_writes_test.cpp
+++ b/tests/pooler_writes_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace tamarindshift;
 
-TEST_CASE("pooler writes: one whose reply was lost is not sent again", "[pooler][writes]") {
+TEST_CASE("pooler writes: a write whose reply was lost is not sent again", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.backEnds.script("d1", StatementKind::write, ScriptedOutcome::lostAfterRunning);
@@ -16,7 +16,7 @@
   CHECK(trial.committed(alice->last->id) == 1);
 }
 
-TEST_CASE("pooler writes: one on a connection that turned out to be closed goes over another", "[pooler][writes]") {
+TEST_CASE("pooler writes: a write on a connection found closed is sent over another", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 0") == "OK");
@@ -26,24 +26,25 @@
   CHECK(trial.backEnds.at("d1").openings == 2);
 }
 
-TEST_CASE("pooler writes: one that is cut at a change of primary has an unknown outcome and stays where it was", "[pooler][writes]") {
+TEST_CASE("pooler writes: a write interrupted by a change of primary has an unknown outcome and is not sent to the new one",
+          "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
-  trial.backEnds.at("d1").work = 300ms;
+  trial.backEnds.at("d1").runTime = 300ms;
   auto asked = alice->start("WRITE a 1");
   trial.run(50ms);
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   CHECK(alice->finish(asked) == "UNRESOLVED");
-  CHECK(asked->taken() < 60ms);
-  trial.leads("d2");
-  trial.primary(2, "d2", true);
+  CHECK(asked->elapsed() < 60ms);
+  trial.makePrimary("d2");
+  trial.publishPrimary(2, "d2", true);
   trial.run(3s);
   CHECK(trial.runsOf("WRITE a 1").size() == 1);
   CHECK(alice->ask("WRITE a 2") == "OK");
   CHECK(trial.runsOf("WRITE a 2").front().database == "d2");
 }
 
-TEST_CASE("pooler writes: one that was busy or met a replica is tried again within the hold", "[pooler][writes]") {
+TEST_CASE("pooler writes: a write refused as busy or read-only is retried within the wait", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto outcome = GENERATE(ScriptedOutcome::busy, ScriptedOutcome::readOnly);
@@ -51,26 +52,26 @@
   CHECK(alice->ask("WRITE a 1") == "OK");
   CHECK(trial.runsOf("WRITE a 1").size() == 4);
   CHECK(trial.committed(alice->last->id) == 1);
-  CHECK(alice->last->taken() < 200ms);
+  CHECK(alice->last->elapsed() < 200ms);
 }
 
-TEST_CASE("pooler writes: one that stays busy is answered after the hold with when to come back", "[pooler][writes]") {
+TEST_CASE("pooler writes: a write that stays busy is answered after the wait with a retry time", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   auto outcome = GENERATE(ScriptedOutcome::busy, ScriptedOutcome::readOnly);
   for (int times = 0; times < 100; ++times) trial.backEnds.script("d1", StatementKind::write, outcome);
   auto word = alice->ask("WRITE a 1");
   CHECK((word == "CONGESTED" || word == "READONLY"));
-  CHECK(alice->last->reply->comeBack);
-  CHECK(alice->last->taken() >= 300ms);
-  CHECK(alice->last->taken() <= 550ms);
+  CHECK(alice->last->reply->retryAfter);
+  CHECK(alice->last->elapsed() >= 300ms);
+  CHECK(alice->last->elapsed() <= 550ms);
   CHECK(trial.committed(alice->last->id) == 0);
   auto tries = trial.runsOf("WRITE a 1").size();
   trial.run(3s);
   CHECK(trial.runsOf("WRITE a 1").size() == tries);
 }
 
-TEST_CASE("pooler writes: the same text is kept byte for byte at every try", "[pooler][writes]") {
+TEST_CASE("pooler writes: every attempt sends the same text byte for byte", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   trial.backEnds.script("d1", StatementKind::write, ScriptedOutcome::busy);
@@ -82,7 +83,7 @@
   CHECK(runs[1].statement.id == alice->last->id);
 }
 
-TEST_CASE("pooler writes: none is passed once the lease is over", "[pooler][writes]") {
+TEST_CASE("pooler writes: none is sent once the lease has ended", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 0") == "OK");
@@ -95,7 +96,7 @@
   CHECK(trial.runsOf("WRITE a 1").empty());
 }
 
-TEST_CASE("pooler writes: none is passed to a former primary once the change is known", "[pooler][writes]") {
+TEST_CASE("pooler writes: none is sent to a former primary once the change is known", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
   CHECK(alice->ask("WRITE a 0") == "OK");
@@ -103,48 +104,48 @@
   trial.backEnds.script("d1", StatementKind::set, ScriptedOutcome::slow);
   auto asked = alice->start("WRITE a 1");
   trial.run(50ms);
-  trial.leads("d2");
+  trial.makePrimary("d2");
   bool planned = GENERATE(false, true);
-  trial.primary(2, "d2", false, planned);
+  trial.publishPrimary(2, "d2", false, planned);
   trial.run(50ms);
-  trial.primary(2, "d2", true, planned);
+  trial.publishPrimary(2, "d2", true, planned);
   CHECK(alice->finish(asked) == "OK");
   auto runs = trial.runsOf("WRITE a 1");
   REQUIRE(runs.size() == 1);
   CHECK(runs.front().database == "d2");
 }
 
-TEST_CASE("pooler writes: one without a promoted primary waits for it and runs once", "[pooler][writes]") {
+TEST_CASE("pooler writes: without a promoted primary a write waits for it and runs once", "[pooler][writes]") {
   PoolerTrial trial;
   auto alice = trial.client("alice");
-  trial.primary(2, "d2", false);
+  trial.publishPrimary(2, "d2", false);
   trial.run(20ms);
   auto asked = alice->start("WRITE a 1");
   trial.run(200ms);
   CHECK(trial.runsOf("WRITE a 1").empty());
-  trial.leads("d2");
-  trial.primary(2, "d2", true);
+  trial.makePrimary("d2");
+  trial.publishPrimary(2, "d2", true);
   CHECK(alice->finish(asked) == "OK");
   CHECK(trial.runsOf("WRITE a 1").size() == 1);
 }
 
-TEST_CASE("pooler writes: whatever happens to connections, no write runs twice and promises hold", "[pooler][writes][seeds]") {
+TEST_CASE("pooler writes: no write runs twice and guarantees hold under random faults of connections", "[pooler][writes][seeds]") {
   for (std::uint64_t seed = 100; seed < 112; ++seed) {
-    PoolerTrial::Choice choice;
-    choice.seed = seed;
-    choice.share = 2;
-    PoolerTrial trial(choice);
+    PoolerTrial::Options options;
+    options.seed = seed;
+    options.share = 2;
+    PoolerTrial trial(options);
     INFO("seed " << seed);
     auto& world = trial.world;
     std::vector<std::unique_ptr<TrialClient>> clients;
     for (int number = 0; number < 5; ++number) clients.push_back(trial.client("c" + std::to_string(number)));
     std::uint64_t epoch = 1;
     std::map<std::string, int> outcomes;
-    std::vector<std::shared_ptr<Asked>> asked(clients.size());
+    std::vector<std::shared_ptr<SentStatement>> asked(clients.size());
     std::string leader = "d1";
     for (int step = 0; step < 9000; ++step) {
       trial.run(1ms);
-      if (world.chance(3)) trial.backEnds.breakOff(leader);
+      if (world.chance(3)) trial.backEnds.closeConnections(leader);
       if (world.chance(20)) {
         ScriptedOutcome scripted[] = {ScriptedOutcome::busy,
                                       ScriptedOutcome::lostAfterRunning,
@@ -158,11 +159,11 @@
       }
       if (step % 1500 == 700) {
         leader = "d" + std::to_string(1 + world.below(3));
-        trial.primary(++epoch, leader, false, world.chance(500));
+        trial.publishPrimary(++epoch, leader, false, world.chance(500));
       }
       if (step % 1500 == 1300) {
-        trial.leads(leader);
-        trial.primary(epoch, leader, true);
+        trial.makePrimary(leader);
+        trial.publishPrimary(epoch, leader, true);
       }
       if (step % 2000 == 100) trial.endLease();
       if (step % 2000 == 400) trial.renewLease();
--- a/tests/scripted_back_ends.hpp
+++ b/tests/scripted_back_ends.hpp
@@ -1,3 +1,4 @@
+/// Scripted databases behind a BackEndConnector, for tests of the pooler.
 #pragma once
 
 #include <deque>
@@ -10,7 +11,8 @@
 
 namespace tamarindshift {
 
-// what a scripted database does with a statement; at `unsent` the connection turns out to be closed
+/// What a scripted database does with a statement. `unsent`: the connection is found to be closed; `silent`: the statement runs
+/// and no reply comes.
 enum class ScriptedOutcome {
   busy,
   behind,
@@ -27,15 +29,16 @@
 
 enum class ScriptedOpening { accepted, refused, overloaded, misdirected, hangs };
 
+/// A statement that reached a database, with the state it met there.
 struct ScriptedRun {
   std::uint64_t number = 0;
   std::uint64_t connection = 0;
   std::string database;
   Statement statement;
-  std::optional<Place> after;
+  std::optional<LogPosition> minPosition;
   std::map<std::string, std::string> values;
   std::map<std::string, PreparedStatement> prepared;
-  Place place;
+  LogPosition logPosition;
   bool inTransaction = false;
   bool ran = false;
   Instant at{};
@@ -45,19 +48,24 @@
 struct ScriptedDatabase {
   std::string name;
   bool primary = false;
-  Place place;
-  Duration work = 5ms;
-  Duration slowness = 300ms;
-  Duration openWork = 2ms;
+  LogPosition logPosition;
+  Duration runTime = 5ms;
+  /// Added to `runTime` at the outcome `slow`.
+  Duration slowDelay = 300ms;
+  Duration openTime = 2ms;
+  /// Between a commit at the primary and its arrival here.
   Duration lag = 2ms;
-  bool follows = true;
-  bool dark = false;
-  // values and names laid in a transaction go with its rollback
-  bool rollbackForgets = false;
+  /// Whether it receives the commits of the primary.
+  bool replicates = true;
+  /// Neither opens connections nor replies.
+  bool unresponsive = false;
+  /// Whether a rollback undoes the variables and prepared names set in its transaction.
+  bool rollbackRestoresState = false;
+  /// Outcomes of the next statements of each kind; a statement without one succeeds.
   std::map<StatementKind, std::deque<ScriptedOutcome>> next;
   ScriptedOpening opening = ScriptedOpening::accepted;
   std::uint32_t connections = 0;
-  std::uint32_t mostConnections = 0;
+  std::uint32_t peakConnections = 0;
   std::uint32_t openings = 0;
   Instant lastOpening{};
   std::vector<std::string> committed;
@@ -65,35 +73,37 @@
 
 class ScriptedConnection;
 
-class ScriptedBackEnds : public BackEnds {
+class ScriptedBackEnds : public BackEndConnector {
  public:
   explicit ScriptedBackEnds(Clock& clock) : clock_(clock) {}
 
-  ScriptedDatabase& add(const std::string& name, bool primary, Place place);
+  ScriptedDatabase& add(const std::string& name, bool primary, LogPosition logPosition);
   ScriptedDatabase& at(const std::string& name) { return databases_.at(name); }
   const std::map<std::string, ScriptedDatabase>& databases() const { return databases_; }
   void script(const std::string& name, StatementKind kind, ScriptedOutcome outcome) { at(name).next[kind].push_back(outcome); }
-  // closes all connections of a database from its side
-  void breakOff(const std::string& name);
-  Task<BackEndOpening> open(DatabaseTarget target, Instant deadline) override;
+  /// Closes all connections of a database from its side.
+  void closeConnections(const std::string& name);
+  Task<BackEndOpenResult> open(DatabaseTarget target, Instant deadline) override;
 
   std::vector<ScriptedRun> runs;
+  /// Breaches of the protocol by the pooler.
   std::vector<std::string> violations;
-  std::function<void(const ScriptedRun&)> observed;
+  std::function<void(const ScriptedRun&)> onRun;
 
  private:
   friend class ScriptedConnection;
-  struct Wire;
-  Task<BackEndReply> run(std::shared_ptr<Wire> wire, Statement statement, std::optional<Place> after, Instant deadline);
-  BackEndReply execute(Wire& wire, std::size_t number, std::optional<ScriptedOutcome> outcome);
-  StatementFault effect(Wire& wire, ScriptedRun& run);
+  struct ServerConnection;
+  Task<BackEndReply> run(std::shared_ptr<ServerConnection> connection, Statement statement, std::optional<LogPosition> minPosition,
+                         Instant deadline);
+  BackEndReply execute(ServerConnection& connection, std::size_t number, std::optional<ScriptedOutcome> outcome);
+  StatementFault effect(ServerConnection& connection, ScriptedRun& run);
   void commit(ScriptedDatabase& database, std::vector<std::string> ids);
-  void close(Wire& wire);
-  static void rollBack(Wire& wire);
+  void close(ServerConnection& connection);
+  static void rollBack(ServerConnection& connection);
 
   Clock& clock_;
   std::map<std::string, ScriptedDatabase> databases_;
-  std::vector<std::weak_ptr<Wire>> wires_;
+  std::vector<std::weak_ptr<ServerConnection>> connections_;
   std::uint64_t lastConnection_ = 0;
 };
 
--- a/tests/scripted_databases.hpp
+++ b/tests/scripted_databases.hpp
@@ -1,58 +1,71 @@
+/// Scripted databases behind DatabaseControl, for tests of the control plane: heartbeats, status, demotion and promotion.
 #pragma once
 
+// Databases with scripted behaviour, as test doubles for DatabaseControl.
+
 #include <functional>
 
 #include "base/gate.hpp"
 #include "base/task_scope.hpp"
-#include "control/access_messages.hpp"
 #include "control/database_control.hpp"
+#include "control/report_messages.hpp"
 #include "edge/door.hpp"
 
 namespace tamarindshift {
 
+/// Databases that send heartbeats and answer status, demote and promote calls as the test sets them up.
 class ScriptedDatabases : public DatabaseControl {
  public:
   struct Database {
     DatabaseHeartbeat heartbeat;
-    Place place;
-    /// The newest term it knows of, where that is above the one of its log.
+    /// Position of the last entry of its log.
+    LogPosition logPosition;
+    /// The newest term that it knows of, if above that of its log.
     Epoch newestTerm;
+    /// Whether the process runs.
     bool up = true;
-    bool dark = false;
-    bool silent = false;
+    /// Neither answers calls nor sends heartbeats.
+    bool unreachable = false;
+    /// Answers calls but sends no heartbeats.
+    bool heartbeatsStopped = false;
+    /// Reply to a promote call.
     PromotionOutcome promotion = PromotionOutcome::accepted;
-    bool leadsWhenAccepted = true;
+    /// Whether it becomes primary some time after accepting a promotion.
+    bool promotesWhenAccepted = true;
     std::uint64_t statusCalls = 0;
     std::uint64_t promoteCalls = 0;
     std::vector<Epoch> demotedWith;
     Instant demotedAt{};
-    Instant promotedAt{};
-    /// When it last began to lead by a promotion.
-    Instant ledAt{};
-    Epoch term() const { return std::max(newestTerm, place.epoch); }
+    /// When promote was last called.
+    Instant promoteCalledAt{};
+    /// When it last became primary by a promotion.
+    Instant becamePrimaryAt{};
+    Epoch term() const { return std::max(newestTerm, logPosition.epoch); }
   };
   using Deliver = std::function<Task<DoorReply>(DatabaseHeartbeat)>;
 
   ScriptedDatabases(Clock& clock, Deliver deliver) : clock_(clock), deliver_(std::move(deliver)) {}
   Database& at(const std::string& name) { return databases_.at(DatabaseName{name}); }
-  void add(const DatabaseHeartbeat& heartbeat, Place place);
-  // a database that never sent a heartbeat and answers nothing
-  void addUnheard(const std::string& name) { databases_[DatabaseName{name}].dark = true; }
-  void tell(const std::string& name);
+  void add(const DatabaseHeartbeat& heartbeat, LogPosition logPosition);
+  /// Adds a database that sends no heartbeat and answers no call.
+  void addUnreachable(const std::string& name) { databases_[DatabaseName{name}].unreachable = true; }
+  /// Sends a heartbeat now.
+  void sendHeartbeat(const std::string& name);
   std::uint64_t statusCalls() const;
+  /// The holder of each promote call.
   const std::vector<DutyHolder>& holders() const { return holders_; }
 
-  Task<std::optional<DatabaseStanding>> status(DatabaseTarget target, Instant deadline) override;
-  Task<std::optional<DatabaseStanding>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override;
+  Task<std::optional<DatabaseStatus>> status(DatabaseTarget target, Instant deadline) override;
+  Task<std::optional<DatabaseStatus>> demote(DatabaseTarget target, Epoch epoch, Instant deadline) override;
   Task<PromotionOutcome> promote(DatabaseTarget target, Epoch epoch, DutyHolder holder, Instant deadline) override;
 
  private:
-  Task<void> heartbeats(DatabaseName name);
-  Task<void> lead(DatabaseName name);
-  Task<void> pass(DatabaseHeartbeat heartbeat);
+  Task<void> sendHeartbeats(DatabaseName name);
+  Task<void> becomePrimary(DatabaseName name);
+  Task<void> deliver(DatabaseHeartbeat heartbeat);
   Task<bool> answers(DatabaseName name, Instant deadline);
-  DatabaseStanding standing(const Database& database) const {
-    return DatabaseStanding{database.heartbeat.role, database.place.epoch, database.place.position, {}, database.term()};
+  DatabaseStatus standing(const Database& database) const {
+    return DatabaseStatus{database.heartbeat.role, database.logPosition.epoch, database.logPosition.position, {}, database.term()};
   }
 
   Clock& clock_;
--- a/tests/scripted_news.hpp
+++ b/tests/scripted_updates.hpp
@@ -1,27 +1,28 @@
+/// Updates of the control plane that a test publishes itself.
 #pragma once
 
 #include <set>
 
-#include "control/plan_news.hpp"
-#include "news/news_feed.hpp"
+#include "control/plan_entries.hpp"
+#include "updates/update_feed.hpp"
 
 namespace tamarindshift {
 
-// news that a test publishes itself, under a lease that goes on until the test ends it
-class ScriptedNews : public NewsFeed {
+/// Topics are leased until the test ends their leases.
+class ScriptedUpdates : public UpdateFeed {
  public:
-  explicit ScriptedNews(Clock& clock) : clock_(clock) {}
+  explicit ScriptedUpdates(Clock& clock) : clock_(clock) {}
 
   std::optional<Instant> leaseUntil(const Topic& topic) override {
     if (ended_.contains(topic)) return std::nullopt;
     return clock_.now() + 2s;
   }
-  std::vector<DatabaseSign> signs(const Topic&) override { return {}; }
+  std::vector<DatabaseReport> databaseReports(const Topic&) override { return {}; }
   std::uint64_t position(const Topic&) override { return position_; }
-  const NewsBoard& board() const override { return board_; }
+  const UpdateStore& updates() const override { return board_; }
   Gate& changed() override { return board_.changed(); }
-  Instant coreRepliedAt() const override { return replicasReply ? clock_.now() : NewsFeed::coreRepliedAt(); }
-  /// Replicas reply, with a lease or without one.
+  Instant coreRepliedAt() const override { return replicasReply ? clock_.now() : UpdateFeed::coreRepliedAt(); }
+  /// Whether the replicas reply, regardless of leases.
   bool replicasReply = false;
 
   template <class Value>
@@ -34,7 +35,7 @@
     std::erase_if(tables_[topic], [](const auto& each) {
       return isPlanKey(each.first);
     });
-    layPlan(tables_[topic], plan);
+    writePlanEntries(tables_[topic], plan);
     publish(topic);
   }
   void remove(const Topic& topic, const std::string& key) {
@@ -52,8 +53,8 @@
   void publish(const Topic& topic) { board_.publish(topic, ++position_, tables_[topic]); }
 
   Clock& clock_;
-  NewsBoard board_;
-  std::map<Topic, NewsTable> tables_;
+  UpdateStore board_;
+  std::map<Topic, TopicTable> tables_;
   std::set<Topic> ended_;
   std::uint64_t position_ = 0;
 };
